--- a/modules/plankledge_policy/relay/gate/AdmissionLevel.h
+++ b/modules/plankledge_policy/relay/gate/AdmissionLevel.h
@@ -9,29 +9,31 @@
 
 //==============================================================================
 /**
-    How much of the order of refusal a gate admits, from its most important end: 1 is all.
+    Share of the shedding order that a gate admits, counted from the most important
+    requests; 1 admits all.
 
-    At the end of each period the level is multiplied by what the slots can do over what
-    was asked of them, less what waits already. A period is about as long as a change takes
-    to show here: what the entries refuse is missed only after the services above have done
-    their part, so a faster loop would swing.
+    A feedback controller: at the end of each period the level is scaled by the ratio of the
+    slot time available, less that needed to drain the queue, to the slot time requested. A
+    change of the level reaches this gate only after the upstream services have run, so a
+    period much shorter than that delay would make the level oscillate.
 */
 class AdmissionLevel
 {
 public:
     //==============================================================================
-    /** Between two looks at the load. */
+    /** Interval between two updates of the level. */
     static constexpr Duration period = Milliseconds (300);
 
-    /** What one period was like; all in slot time, since requests of different routes take a slot for times
-        that differ by a factor of ten and more. */
+    /** The load of one period. It is measured in slot time, since requests of different routes may occupy a
+        slot for durations that differ by more than a factor of ten. */
     struct Load
     {
-        Duration m_asked {};    /**< by the requests that came, refused ones included */
-        Duration m_waiting {};  /**< by the requests that wait now */
-        Duration m_capacity {}; /**< of all slots in a period; 0: not known */
+        Duration m_requestedWork {}; /**< of the requests received, including refused ones */
+        Duration m_queuedWork {};    /**< of the requests queued at the end of the period */
+        Duration m_capacity {};      /**< of all slots in a period; zero if unknown */
     };
 
+    /** Updates the level; leaves it unchanged if the capacity is unknown. */
     void onPeriodEnd (const Load& load) noexcept;
 
     /** @returns the level in thousandths */
--- a/modules/plankledge_policy/relay/gate/GateCall.h
+++ b/modules/plankledge_policy/relay/gate/GateCall.h
@@ -8,10 +8,10 @@
 namespace plankledge
 {
 
-/** Who waits for the answer of a call at the gate. */
+/** Where the answer to a call at the gate is sent. */
 struct GateCaller
 {
-    LinkId m_link = 0; /**< the connection that the peer opened; 0: this node itself */
+    LinkId m_link = 0; /**< connection opened by the peer; 0 if this node is the caller */
     InstanceName m_instance;
     CallId m_call = 0;
 
@@ -21,7 +21,7 @@
 namespace detail
 {
 
-/** A request at the gate, from its arrival to its answer. */
+/** State of a request at the gate, from arrival to answer. */
 struct GateCall
 {
     GateCaller m_caller;
@@ -30,15 +30,15 @@
     Time m_chainStartedAt;
     Time m_deadline;
     Time m_dispatchedAt;
-    std::optional<Time> m_keyHoldsUntil {}; /**< it may not be dispatched later; nullopt: no such bound */
-    Time m_holdEnd;                         /**< it is refused if it has no slot by then */
-    Duration m_slotTime {};                 /**< that it is expected to hold a slot */
-    bool m_hasBegun = false;                /**< the target has worked for its chain already */
+    std::optional<Time> m_keyHoldsUntil {}; /**< latest dispatch; nullopt if unbounded */
+    Time m_holdEnd;                         /**< refused if not dispatched by then */
+    Duration m_slotTime {};                 /**< expected time in a slot */
+    bool m_isChainActive = false;           /**< a request of its chain was dispatched before */
     bool m_isDispatched = false;
-    std::uint32_t m_callsDone = 0; /**< its calls that ended well */
+    std::uint32_t m_callsDone = 0; /**< nested calls that succeeded */
 
-    /** @returns whether the word of the request's entry that its key is valid still counts */
-    bool holdsKeyAt (Time now) const noexcept
+    /** @returns whether the entry's confirmation that the request's key is valid has not expired */
+    bool isKeyValidAt (Time now) const noexcept
     {
         return ! m_keyHoldsUntil.has_value() || now < *m_keyHoldsUntil;
     }
--- a/modules/plankledge_policy/relay/gate/GateLog.cpp
+++ b/modules/plankledge_policy/relay/gate/GateLog.cpp
@@ -5,16 +5,16 @@
 namespace plankledge::detail
 {
 
-LogDecision logGateRefused (const GateCall& call, Reason reason, const GateFill& fill)
+LogDecision logGateRefused (const GateCall& call, Reason reason, const GateOccupancy& occupancy)
 {
     return { Decision::gateRefused,
              call.m_request.m_content.m_id,
              { { "reason", std::string (nameOf (reason)) },
-               { "running", number (fill.m_running) },
-               { "queued", number (fill.m_queued) },
-               { "limit", number (fill.m_limit) },
-               { "begun", yesOrNo (call.m_hasBegun) },
-               { "expected_wait_ms", milliseconds (fill.m_expectedWait) },
+               { "running", number (occupancy.m_running) },
+               { "queued", number (occupancy.m_queued) },
+               { "limit", number (occupancy.m_limit) },
+               { "begun", yesOrNo (call.m_isChainActive) },
+               { "expected_wait_ms", milliseconds (occupancy.m_expectedWait) },
                { "time_left_ms", milliseconds (call.m_request.m_timeLeft) } } };
 }
 
@@ -27,8 +27,8 @@
                { "running", number (running) } } };
 }
 
-LogDecision logBroken (const GateCall& call, const TargetId& target, Reason reason, std::size_t running,
-                       Time now)
+LogDecision logFailedDispatch (const GateCall& call, const TargetId& target, Reason reason,
+                               std::size_t running, Time now)
 {
     return { Decision::gateEnded,
              call.m_request.m_content.m_id,
@@ -45,7 +45,7 @@
              call.m_request.m_content.m_id,
              { { "reason", std::string (nameOf (reason)) },
                { "dispatched", yesOrNo (call.m_isDispatched) },
-               { "begun", yesOrNo (call.m_hasBegun) },
+               { "begun", yesOrNo (call.m_isChainActive) },
                { "in_gate_ms", milliseconds (now - call.m_receivedAt) } } };
 }
 
@@ -54,25 +54,25 @@
     return { Decision::targetAnnounced,
              {},
              { { "target", target.id() },
-               { "started_at_ms", target.life().m_startedAt.has_value()
-                                      ? milliseconds (*target.life().m_startedAt)
+               { "started_at_ms", target.incarnation().m_startedAt.has_value()
+                                      ? milliseconds (*target.incarnation().m_startedAt)
                                       : std::string() },
                { "service", target.service() },
                { "slots", number (target.slots()) },
                { "state", target.isLeaving() ? "leaving" : "serving" } } };
 }
 
-LogDecision logAdmission (const AdmissionMove& move)
+LogDecision logAdmission (const AdmissionChange& change)
 {
     return { Decision::admissionMoved,
              {},
-             { { "admitted_permille", number (move.m_admittedPermille) },
-               { "asked_slot_ms", milliseconds (move.m_asked) },
-               { "capacity_slot_ms", milliseconds (move.m_capacity) },
-               { "queued_slot_ms", milliseconds (move.m_queuedWork) },
-               { "queued", number (move.m_queued) },
-               { "dispatches", number (move.m_dispatches) },
-               { "lost_calls", number (move.m_lostCalls) } } };
+             { { "admitted_permille", number (change.m_admittedPermille) },
+               { "asked_slot_ms", milliseconds (change.m_requestedWork) },
+               { "capacity_slot_ms", milliseconds (change.m_capacity) },
+               { "queued_slot_ms", milliseconds (change.m_queuedWork) },
+               { "queued", number (change.m_queued) },
+               { "dispatches", number (change.m_dispatches) },
+               { "lost_calls", number (change.m_lostCalls) } } };
 }
 
 } // namespace plankledge::detail
--- a/modules/plankledge_policy/relay/gate/GateLog.h
+++ b/modules/plankledge_policy/relay/gate/GateLog.h
@@ -4,45 +4,48 @@
 #include "plankledge_policy/relay/gate/GateCall.h"
 #include "plankledge_policy/relay/gate/OwnTarget.h"
 
-/** The log's lines about requests at a gate: each decision with the inputs that decided it. */
+/** Log records of a gate: each decision with its inputs. */
 namespace plankledge::detail
 {
 
-/** How full the gate is when a request is refused. */
-struct GateFill
+/** Occupancy of the gate when a request is refused. */
+struct GateOccupancy
 {
     std::size_t m_running = 0;
     std::size_t m_queued = 0;
     std::uint32_t m_limit = 0;
-    Duration m_expectedWait {}; /**< of the request */
+    Duration m_expectedWait {}; /**< of the refused request */
 
-    auto operator<=> (const GateFill&) const = default;
+    auto operator<=> (const GateOccupancy&) const = default;
 };
 
-/** What moved the admission level at the end of a period. */
-struct AdmissionMove
+/** The admission level and the load of the period that it was computed from. */
+struct AdmissionChange
 {
     std::uint16_t m_admittedPermille = 0;
-    Duration m_asked {};
-    Duration m_capacity {};
-    Duration m_queuedWork {};
+    Duration m_requestedWork {};
+    Duration m_capacity {};   /**< slot time */
+    Duration m_queuedWork {}; /**< slot time */
     std::size_t m_queued = 0;
     std::uint64_t m_dispatches = 0; /**< since the start */
     std::uint64_t m_lostCalls = 0;  /**< since the start */
 
-    auto operator<=> (const AdmissionMove&) const = default;
+    auto operator<=> (const AdmissionChange&) const = default;
 };
 
-LogDecision logGateRefused (const GateCall& call, Reason reason, const GateFill& fill);
+LogDecision logGateRefused (const GateCall& call, Reason reason, const GateOccupancy& occupancy);
 LogDecision logDispatched (const GateCall& call, const TargetId& target, std::size_t running);
 
-/** The target gave no whole answer; so many others still run there. */
-LogDecision logBroken (const GateCall& call, const TargetId& target, Reason reason, std::size_t running,
-                       Time now);
+/** The target rejected the request, could not be reached or broke off its answer.
 
-/** The gate ended it without an answer of the target. */
+    @param running   number of other requests running at the target
+*/
+LogDecision logFailedDispatch (const GateCall& call, const TargetId& target, Reason reason,
+                               std::size_t running, Time now);
+
+/** The gate ended the request without an answer from the target. */
 LogDecision logEnded (const GateCall& call, Reason reason, Time now);
 LogDecision logAnnounced (const OwnTarget& target);
-LogDecision logAdmission (const AdmissionMove& move);
+LogDecision logAdmission (const AdmissionChange& change);
 
 } // namespace plankledge::detail
--- a/modules/plankledge_policy/relay/gate/OwnTarget.cpp
+++ b/modules/plankledge_policy/relay/gate/OwnTarget.cpp
@@ -8,23 +8,23 @@
 namespace
 {
 
-/** Announcements that may fail to come before the target counts as silent, and a margin: one may be
-   seconds late. */
-constexpr int missedAnnouncements = 2;
-constexpr Duration lateness = Milliseconds (1500);
+/** Consecutive announcements that may be missed before the target is considered silent, and a margin for a
+    late one. */
+constexpr int maxMissedAnnouncements = 2;
+constexpr Duration maxAnnouncementDelay = Milliseconds (1500);
 
-/** The end of an earlier life is expected so long after a later one was first heard: announcements may be
-   seconds late, and a target that has said that it drains serves on for several. */
-constexpr Duration lateEnd = std::chrono::seconds (6);
+/** How long after a restart the earlier incarnation may still be announced as gone: it may drain for seconds,
+    and the announcement may be late. */
+constexpr Duration maxGoneDelay = std::chrono::seconds (6);
 
-/** Ends of targets that were never heard are remembered for so many; any writer can name new ones. */
-constexpr std::size_t mostGoneUnheard = 1000;
+/** Bound on m_earlyGone, since announcements can name arbitrary target ids. */
+constexpr std::size_t maxEarlyGone = 1000;
 
 } // namespace
 
 //==============================================================================
 OwnTarget::OwnTarget (Duration announcementPeriod) noexcept
-    : m_silenceLimit (announcementPeriod * missedAnnouncements + lateness)
+    : m_announcementTimeout (announcementPeriod * maxMissedAnnouncements + maxAnnouncementDelay)
 {
 }
 
@@ -33,15 +33,15 @@
     if (announced.m_state == AnnouncedState::gone)
         return onGone (announced.m_target, now);
 
-    const TargetLife said { announced.m_target, announced.m_startedAt };
+    const TargetIncarnation sender { announced.m_target, announced.m_startedAt };
 
-    if (said != life())
-        return isOfThePast (said, now) ? Change::none : begin (announced, now);
+    if (sender != incarnation())
+        return isStale (sender, now) ? Change::none : adopt (announced, now);
 
-    m_heardAt = now;
+    m_lastAnnouncedAt = now;
 
     if (announced.m_state == AnnouncedState::draining)
-        return leave (said);
+        return markLeaving (sender);
 
     if (announced.m_sequence > m_announced.m_sequence)
         m_announced = announced;
@@ -49,64 +49,65 @@
     return Change::none;
 }
 
-/** Without this a late announcement of an earlier life would take the place of the one that serves. */
-bool OwnTarget::isOfThePast (const TargetLife& said, Time now) const
+/** Guards against a late announcement of an earlier incarnation replacing the current one. */
+bool OwnTarget::isStale (const TargetIncarnation& sender, Time now) const
 {
     if (id().empty())
         return false;
 
-    // Also where one of the two does not tell its start: it is no later one for sure.
-    const auto isNotLater = [&said] (const TargetLife& other) {
-        return other.m_target == said.m_target && other.m_startedAt >= said.m_startedAt;
+    // An incarnation without a start time is not known to be later.
+    const auto isNotLater = [&sender] (const TargetIncarnation& other) {
+        return other.m_target == sender.m_target && other.m_startedAt >= sender.m_startedAt;
     };
 
-    if (isNotLater (life()))
+    if (isNotLater (incarnation()))
         return true;
 
-    // Of two targets the one that is heard stays: what it follows, or started before it, is late.
-    const bool isFollowed = std::any_of (m_past.begin(), m_past.end(), isNotLater);
-    const bool startedBefore = said.m_startedAt.has_value() && said.m_startedAt < m_announced.m_startedAt;
-    return (isFollowed || startedBefore) && isHeardLately (now);
+    // While the current target is announced, one that it superseded or that started earlier is stale.
+    const bool isSuperseded = std::any_of (m_superseded.begin(), m_superseded.end(), isNotLater);
+    const bool startedEarlier =
+        sender.m_startedAt.has_value() && sender.m_startedAt < m_announced.m_startedAt;
+    return (isSuperseded || startedEarlier) && isRecentlyAnnounced (now);
 }
 
-OwnTarget::Change OwnTarget::begin (const TargetAnnounced& announced, Time now)
+OwnTarget::Change OwnTarget::adopt (const TargetAnnounced& announced, Time now)
 {
-    const auto before = life();
-    const TargetLife next { announced.m_target, announced.m_startedAt };
+    const auto before = incarnation();
+    const TargetIncarnation next { announced.m_target, announced.m_startedAt };
 
     if (! before.m_target.empty())
-        m_past.insert (before);
+        m_superseded.insert (before);
 
-    if (before.m_target == next.m_target && isLeaving() && ! m_isEndHeard)
-        m_endsDue.insert (before.m_target);
+    if (before.m_target == next.m_target && isLeaving() && ! m_isGoneReceived)
+        m_pendingGone.insert (before.m_target);
 
     m_announced = announced;
-    m_heardAt = now;
-    m_beganAt = now;
-    m_isEndHeard = false;
+    m_lastAnnouncedAt = now;
+    m_currentSince = now;
+    m_isGoneReceived = false;
 
-    if (announced.m_state == AnnouncedState::draining || m_goneUnheard.erase (next.m_target) > 0)
+    if (announced.m_state == AnnouncedState::draining || m_earlyGone.erase (next.m_target) > 0)
         m_leaving.insert (next);
 
-    return before.m_target == next.m_target ? Change::restarted : Change::newLife;
+    return before.m_target == next.m_target ? Change::restarted : Change::replaced;
 }
 
-/** The end of a life does not say which one it is of. It is of the one that is served, since work for a
-   target that has gone is lost, unless an earlier one that drained still owes it. */
+/** A gone announcement carries no start time. It applies to the current incarnation, since work sent to a
+    target that has gone is lost, unless it is still due from an earlier incarnation that drained. */
 OwnTarget::Change OwnTarget::onGone (const TargetId& target, Time now)
 {
     if (target == id())
     {
-        if (m_endsDue.erase (target) > 0 && now - m_beganAt <= lateEnd)
+        if (m_pendingGone.erase (target) > 0 && now - m_currentSince <= maxGoneDelay)
             return Change::none;
 
-        m_isEndHeard = true;
-        return leave (life());
+        m_isGoneReceived = true;
+        return markLeaving (incarnation());
     }
 
     bool isKnown = false;
 
-    for (const auto& past : m_past)
+    for (const auto& past : m_superseded)
     {
         if (past.m_target != target)
             continue;
@@ -118,28 +119,28 @@
     if (isKnown)
         return Change::none;
 
-    if (m_goneUnheard.size() >= mostGoneUnheard)
-        m_goneUnheard.erase (m_goneUnheard.begin());
+    if (m_earlyGone.size() >= maxEarlyGone)
+        m_earlyGone.erase (m_earlyGone.begin());
 
-    m_goneUnheard.insert (target);
+    m_earlyGone.insert (target);
 
     return Change::none;
 }
 
-OwnTarget::Change OwnTarget::leave (const TargetLife& leaving)
+OwnTarget::Change OwnTarget::markLeaving (const TargetIncarnation& leaving)
 {
-    const bool isNews = m_leaving.insert (leaving).second;
-    return isNews ? Change::leaving : Change::none;
+    const bool isNew = m_leaving.insert (leaving).second;
+    return isNew ? Change::leaving : Change::none;
 }
 
-bool OwnTarget::isHeardLately (Time now) const noexcept
+bool OwnTarget::isRecentlyAnnounced (Time now) const noexcept
 {
-    return now - m_heardAt <= m_silenceLimit;
+    return now - m_lastAnnouncedAt <= m_announcementTimeout;
 }
 
 bool OwnTarget::isServing (Time now) const noexcept
 {
-    return ! id().empty() && ! isLeaving() && isHeardLately (now);
+    return ! id().empty() && ! isLeaving() && isRecentlyAnnounced (now);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/gate/OwnTarget.h
+++ b/modules/plankledge_policy/relay/gate/OwnTarget.h
@@ -10,26 +10,26 @@
 {
 
 //==============================================================================
-/** One life of a target: it may start again under the id that it had. */
-struct TargetLife
+/** One incarnation of a target, which may restart under the same id. */
+struct TargetIncarnation
 {
     TargetId m_target;
-    std::optional<Duration> m_startedAt; /**< by its own clock; nullopt: it does not say */
+    std::optional<Duration> m_startedAt; /**< by the target's clock; nullopt if not announced */
 
-    auto operator<=> (const TargetLife&) const = default;
+    auto operator<=> (const TargetIncarnation&) const = default;
 };
 
 //==============================================================================
 /**
-    What the target beside this node said of itself.
+    The announced state of the target that runs on the same instance as this node.
 
-    Once it has said that it leaves it takes no new work for the rest of that life, and a
-    node that has just started takes none for it before it has heard it. Announcements may
-    come late and out of order, and of a life that has ended.
+    A target that has announced that it is leaving gets no new work for the rest of that
+    incarnation, and a node that has just started accepts none before the first announcement.
+    Announcements may arrive late, out of order, and from an incarnation that has ended.
 
-    Of two lives under one id the later start is the newer one, whatever the order in which
-    they are heard; within a life announcements are ordered by their count. Starts are
-    compared only among targets beside this node, so one clock tells them all.
+    Of two incarnations under one id, the one with the later start is the newer. Within an
+    incarnation, announcements are ordered by their sequence number. Start times are compared
+    only among targets on this instance, so they are all read from one clock.
 */
 class OwnTarget
 {
@@ -38,46 +38,49 @@
     enum class Change : std::uint8_t
     {
         none,
-        newLife,   /**< another target took the place */
-        restarted, /**< the target itself started again, under its id */
+        replaced,  /**< a target with another id took its place */
+        restarted, /**< the target restarted under the same id */
         leaving
     };
 
-    /** @param announcementPeriod   between two announcements of a target */
+    /** @param announcementPeriod   interval between announcements of a target */
     explicit OwnTarget (Duration announcementPeriod) noexcept;
 
+    /** Applies an announcement.
+
+        @returns what it changed
+    */
     Change onAnnounced (const TargetAnnounced& announced, Time now);
 
-    /** @returns whether the target was heard lately and has not said that it leaves */
+    /** @returns whether the target was announced recently and is not leaving */
     bool isServing (Time now) const noexcept;
 
-    /** @returns whether the target has left or is about to */
-    bool isLeaving() const noexcept { return m_leaving.contains (life()); }
+    /** @returns whether the target is draining or gone */
+    bool isLeaving() const noexcept { return m_leaving.contains (incarnation()); }
 
     const TargetId& id() const noexcept { return m_announced.m_target; }
-    TargetLife life() const { return { m_announced.m_target, m_announced.m_startedAt }; }
+    TargetIncarnation incarnation() const { return { m_announced.m_target, m_announced.m_startedAt }; }
     const ServiceName& service() const noexcept { return m_announced.m_service; }
     const Endpoint& endpoint() const noexcept { return m_announced.m_endpoint; }
     std::uint32_t slots() const noexcept { return m_announced.m_slots; }
 
 private:
     //==============================================================================
-    bool isHeardLately (Time now) const noexcept;
-    bool isOfThePast (const TargetLife& life, Time now) const;
-    Change begin (const TargetAnnounced& announced, Time now);
+    bool isRecentlyAnnounced (Time now) const noexcept;
+    bool isStale (const TargetIncarnation& incarnation, Time now) const;
+    Change adopt (const TargetAnnounced& announced, Time now);
     Change onGone (const TargetId& target, Time now);
-    Change leave (const TargetLife& life);
-
-    const Duration m_silenceLimit;
-    TargetAnnounced m_announced;      /**< the newest of the life that is served */
-    std::set<TargetLife> m_leaving;   /**< lives that said so; never taken up again */
-    std::set<TargetLife> m_past;      /**< lives that another one followed */
-    std::set<TargetId> m_goneUnheard; /**< targets whose end was heard before anything else of them */
-    std::set<TargetId> m_endsDue;     /**< targets of which a life that drained was followed by another before
-                                        its end was heard */
-    Time m_heardAt;
-    Time m_beganAt;            /**< when the life that is served was first heard */
-    bool m_isEndHeard = false; /**< of that life */
+    Change markLeaving (const TargetIncarnation& incarnation);
+
+    const Duration m_announcementTimeout;
+    TargetAnnounced m_announced;              /**< latest announcement of the current incarnation */
+    std::set<TargetIncarnation> m_leaving;    /**< incarnations that drain or have gone; not served again */
+    std::set<TargetIncarnation> m_superseded; /**< incarnations that were followed by another */
+    std::set<TargetId> m_earlyGone;           /**< targets announced as gone before any other announcement */
+    std::set<TargetId> m_pendingGone;         /**< targets that restarted before being announced as gone */
+    Time m_lastAnnouncedAt;
+    Time m_currentSince;           /**< when the current incarnation was first announced */
+    bool m_isGoneReceived = false; /**< for the current incarnation */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/gate/RouteTimes.cpp
+++ b/modules/plankledge_policy/relay/gate/RouteTimes.cpp
@@ -8,9 +8,8 @@
 namespace
 {
 
-/** Weight of a new observation: a target that turns slow shows within some twenty requests, about a second of
-   a route's usual traffic, and a single slow request moves nothing much. */
-constexpr double weightOfNew = 0.05;
+/** Weight of a new sample in the moving average. */
+constexpr double smoothingFactor = 0.05;
 
 Duration toDuration (double microseconds) noexcept
 {
@@ -20,21 +19,21 @@
 } // namespace
 
 //==============================================================================
-void RouteTimes::learn (const RouteName& route, Duration took, Time now)
+void RouteTimes::addSample (const RouteName& route, Duration duration, Time now)
 {
     const auto [entry, isNew] = m_means.try_emplace (route);
     auto& mean = entry->second;
     mean.m_microseconds +=
-        (static_cast<double> (took.count()) - mean.m_microseconds) * (isNew ? 1.0 : weightOfNew);
+        (static_cast<double> (duration.count()) - mean.m_microseconds) * (isNew ? 1.0 : smoothingFactor);
     mean.m_seenAt = now;
 }
 
-void RouteTimes::forgetBefore (Time time)
+void RouteTimes::removeBefore (Time time)
 {
     std::erase_if (m_means, [time] (const auto& entry) { return entry.second.m_seenAt < time; });
 }
 
-std::optional<Duration> RouteTimes::seen (const RouteName& route) const noexcept
+std::optional<Duration> RouteTimes::findAverage (const RouteName& route) const noexcept
 {
     const auto found = m_means.find (route);
 
@@ -44,9 +43,9 @@
     return toDuration (found->second.m_microseconds);
 }
 
-Duration RouteTimes::of (const RouteName& route) const noexcept
+Duration RouteTimes::estimate (const RouteName& route) const noexcept
 {
-    if (const auto time = seen (route); time.has_value())
+    if (const auto time = findAverage (route); time.has_value())
         return *time;
 
     if (m_means.empty())
--- a/modules/plankledge_policy/relay/gate/RouteTimes.h
+++ b/modules/plankledge_policy/relay/gate/RouteTimes.h
@@ -11,34 +11,36 @@
 
 //==============================================================================
 /**
-    How long requests of each route take at the own target: moving averages.
+    Moving averages of the time that requests of each route take at the local target.
 
-    Routes of one service may differ by a factor of ten and more, so a mean over whatever
-    came lately would say more about the mix than about the target.
+    Averages are kept per route, since the routes of one service may differ by more than a
+    factor of ten and a common average would follow the mix of requests.
 */
 class RouteTimes
 {
 public:
     //==============================================================================
-    void learn (const RouteName& route, Duration took, Time now);
+    /** Adds the duration of a request that ended at a time. */
+    void addSample (const RouteName& route, Duration duration, Time now);
 
-    /** Forgets routes of which nothing was seen since a time: operators add and drop routes all day. */
-    void forgetBefore (Time time);
+    /** Removes the routes whose last sample is older than a time, since routes are added and removed while
+        the node runs. */
+    void removeBefore (Time time);
 
-    /** Forgets all: the target is another one. */
+    /** Removes all samples, as when the target is replaced. */
     void clear() noexcept { m_means.clear(); }
 
-    /** @returns the time of a route; where none of it was seen, the mean over the other routes, each counted
-        once; 0 where nothing was seen
+    /** @returns the average of a route; if it has no samples, the mean of the averages of the other routes;
+        zero if there are no samples at all
     */
-    Duration of (const RouteName& route) const noexcept;
+    Duration estimate (const RouteName& route) const noexcept;
 
-    /** @returns the time of a route, or nullopt where none of it was seen */
-    std::optional<Duration> seen (const RouteName& route) const noexcept;
+    /** @returns the average of a route, or nullopt if it has no samples */
+    std::optional<Duration> findAverage (const RouteName& route) const noexcept;
 
     bool isEmpty() const noexcept { return m_means.empty(); }
 
-    /** @returns the time of each route that was seen, for peers */
+    /** @returns the average of each route that has samples, as sent to peers */
     std::vector<RouteTime> all() const;
 
 private:
@@ -46,7 +48,7 @@
     struct Mean
     {
         double m_microseconds = 0.0;
-        Time m_seenAt; /**< the newest request */
+        Time m_seenAt; /**< when the last sample was added */
     };
 
     std::map<RouteName, Mean> m_means;
--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -13,47 +13,44 @@
 namespace
 {
 
-/** The part of the target's slots that is used: some targets slow down when nearly full. The users' site
-   files name 0.95 of the slots as the load from which their smallest services take 1.3 times as long. */
-constexpr std::uint32_t usedSlotsPercent = 95;
+/** Share of the target's slots that is used, since some targets slow down when nearly full. */
+constexpr std::uint32_t maxUsedSlotsPercent = 95;
 
-/** Weight of a new observation in the moving average of failures. */
-constexpr double weightOfNew = 0.05;
+/** Weight of a new sample in the moving average of the failure rate. */
+constexpr double smoothingFactor = 0.05;
 
-/** Times of a route are forgotten so long after its last request: long against a lull, short against the life
-   of a node, in which thousands of routes may come and go. */
-constexpr Duration timesKept = std::chrono::minutes (5);
+/** How long the times of a route are kept after its last request. */
+constexpr Duration routeTimeRetention = std::chrono::minutes (5);
 
-/** A chain from which nothing came for so long has ended, or takes nothing of this target's any more: callers
-   wait for up to six seconds, and no call for more than half of that. */
-constexpr Duration chainsKept = std::chrono::seconds (3);
+/** How long a chain is kept after its last dispatch. Callers wait for up to 6 s, and no call takes more than
+    half of that. */
+constexpr Duration chainRetention = std::chrono::seconds (3);
 
-/** With this admission level, in thousandths, or more there is no lasting overload, and chains that have not
-   begun may wait for a burst to pass. Refused sooner at every level, 0.2 % more of all requests failed on
-   days of short troubles. */
-constexpr std::uint16_t leastLevelOfLongWaits = 900;
+/** Admission level, in thousandths, from which new chains may queue for as long as active ones, to ride out a
+    burst. Below it there is lasting overload. */
+constexpr std::uint16_t fullQueueingLevel = 900;
 
-/** Failures are forgotten by this in each window, so that a target which gets no requests any more is tried
-   again: half in 2.3 s. */
-constexpr double failuresKept = 0.97;
+/** Factor by which the failure rate decays in each window (half-life 2.3 s), so that a target that no longer
+    receives requests is tried again. */
+constexpr double failureDecay = 0.97;
 
-/** After a refused connection the target is left alone for so long; it may be restarting. */
-constexpr Duration pauseAfterRefusedConnection = Milliseconds (200);
+/** How long the gate stays closed after a refused connection, as the target may be restarting. */
+constexpr Duration connectionRefusedPause = Milliseconds (200);
 
-/** The target ends a request by itself at its deadline; its own answer gets this long to arrive. */
+/** Grace period after a deadline, for the answer of a target that enforces the deadline itself. */
 constexpr Duration deadlineMargin = Milliseconds (100);
 
-/** More than so many rounds of waiting requests are never kept, whatever they would wait. */
-constexpr std::size_t mostQueuedRounds = 8;
+/** Bound on the queue length, as a multiple of the concurrency limit. */
+constexpr std::size_t maxQueuedRounds = 8;
 
 constexpr std::uint16_t serverError = 500;
 
-/** Peers are told at once of an admission level that moved by so much, in thousandths; of less they hear with
-   answers and hellos. Smaller moves are chance. */
-constexpr int toldStep = 50;
+/** Change of the admission level, in thousandths, that is sent to peers at once. Smaller changes are sent
+    with answers and hellos. */
+constexpr int admissionPublishStep = 50;
 
-/** A move of the admission level is logged for each tenth that it passes. */
-constexpr int logStep = 100;
+/** The admission level is logged when it crosses a multiple of this, in thousandths. */
+constexpr int admissionLogStep = 100;
 
 RelayResult refusal (Reason reason)
 {
@@ -72,23 +69,23 @@
 //==============================================================================
 void TargetGate::receive (Turn& turn, const GateCaller& caller, RelayRequest request)
 {
-    const auto id = m_next++;
+    const auto id = m_nextCallId++;
     auto call = makeCall (turn, caller, std::move (request));
-    m_asked += call.m_slotTime;
+    m_requestedWork += call.m_slotTime;
 
-    if (const auto reason = refusalOf (turn, id, call); reason != Reason::none)
+    if (const auto reason = refusalReason (turn, id, call); reason != Reason::none)
     {
-        const detail::GateFill fill { m_running, m_queue.size(), limit(), expectedWait (id, call) };
-        turn.emit (detail::logGateRefused (call, reason, fill));
+        const detail::GateOccupancy occupancy { m_running, m_queue.size(), limit(), expectedWait (id, call) };
+        turn.emit (detail::logGateRefused (call, reason, occupancy));
         ++turn.counters().m_refusals[reason];
-        countIfLost (turn, call);
+        countIfLostWork (turn, call);
         return answer (turn, caller, call.m_request.m_route, refusal (reason));
     }
 
     turn.timers().set (call.m_deadline + deadlineMargin, TimerKind::gateDeadline, id);
     turn.timers().set (call.m_holdEnd, TimerKind::gateHold, id);
     m_byCaller[caller] = id;
-    m_queue[keyOf (id, call)] = id;
+    m_queue[queueKeyOf (id, call)] = id;
     m_queuedWork += call.m_slotTime;
     m_calls.emplace (id, std::move (call));
     dispatchNext (turn);
@@ -106,26 +103,26 @@
     if (call.m_request.m_keyHoldsFor.has_value())
         call.m_keyHoldsUntil = turn.now() + *call.m_request.m_keyHoldsFor;
 
-    call.m_slotTime = m_slotTimes.of (call.m_request.m_route);
-    call.m_hasBegun = call.m_request.m_isNested && m_begun.contains (call.m_request.m_content.m_id);
-    // Under overload a chain that waits for its first slot has too little time left for its other calls: of
-    // 285 chains that came in three seconds, cold, 19 were whole where 118 could be, and 111 with this bound
-    // and order.
-    const bool mayWaitLong = call.m_hasBegun || m_level.permille() >= leastLevelOfLongWaits;
-    call.m_holdEnd =
-        turn.now() + (mayWaitLong ? call.m_request.m_longestQueueing : call.m_request.m_longestToBegin);
+    call.m_slotTime = m_slotTimes.estimate (call.m_request.m_route);
+    call.m_isChainActive =
+        call.m_request.m_isNested && m_activeChains.contains (call.m_request.m_content.m_id);
+    // Under overload, a chain that waits long for its first slot has too little time left for its later
+    // calls.
+    const bool hasFullQueueingTime = call.m_isChainActive || m_level.permille() >= fullQueueingLevel;
+    call.m_holdEnd = turn.now() + (hasFullQueueingTime ? call.m_request.m_longestQueueing
+                                                       : call.m_request.m_longestToBegin);
     return call;
 }
 
-TargetGate::QueueKey TargetGate::keyOf (CallId id, const Call& call) noexcept
+TargetGate::QueueKey TargetGate::queueKeyOf (CallId id, const Call& call) noexcept
 {
-    return { ! call.m_hasBegun, call.m_request.m_urgency,
-             call.m_hasBegun ? call.m_chainStartedAt : call.m_receivedAt, id };
+    return { ! call.m_isChainActive, call.m_request.m_urgency,
+             call.m_isChainActive ? call.m_chainStartedAt : call.m_receivedAt, id };
 }
 
 std::uint32_t TargetGate::limit() const noexcept
 {
-    return std::max (1U, m_target.slots() * usedSlotsPercent / 100);
+    return std::max (1U, m_target.slots() * maxUsedSlotsPercent / 100);
 }
 
 Duration TargetGate::expectedWait (CallId id, const Call& call) const noexcept
@@ -135,13 +132,13 @@
 
     auto ahead = call.m_slotTime;
 
-    for (auto waiting = m_queue.begin(); waiting != m_queue.lower_bound (keyOf (id, call)); ++waiting)
+    for (auto waiting = m_queue.begin(); waiting != m_queue.lower_bound (queueKeyOf (id, call)); ++waiting)
         ahead += m_calls.at (waiting->second).m_slotTime;
 
     return ahead / limit();
 }
 
-Reason TargetGate::refusalOf (Turn& turn, CallId id, const Call& call) const noexcept
+Reason TargetGate::refusalReason (Turn& turn, CallId id, const Call& call) const noexcept
 {
     const auto& request = call.m_request;
 
@@ -154,13 +151,13 @@
     if (call.m_deadline <= turn.now())
         return Reason::deadlineExceeded;
 
-    if (! call.holdsKeyAt (turn.now()))
+    if (! call.isKeyValidAt (turn.now()))
         return Reason::keyUnproven;
 
-    if (mayCrash (call, turn.now()))
+    if (isBlockedAsSuspect (call, turn.now()))
         return Reason::crashesTargets;
 
-    if (m_queue.size() >= limit() * mostQueuedRounds)
+    if (m_queue.size() >= limit() * maxQueuedRounds)
         return Reason::queueFull;
 
     return turn.now() + expectedWait (id, call) > call.m_holdEnd ? Reason::overloaded : Reason::none;
@@ -173,14 +170,15 @@
     {
         const auto id = m_queue.begin()->second;
 
-        // Checked where it leaves: a process that stood still goes on with what waited meanwhile.
-        if (! m_calls.at (id).holdsKeyAt (turn.now()))
+        // Checked again here, since the key may have expired while the request was queued, as after a pause
+        // of the process.
+        if (! m_calls.at (id).isKeyValidAt (turn.now()))
         {
             finish (turn, id, refusal (Reason::keyUnproven));
             continue;
         }
 
-        if (mayCrash (m_calls.at (id), turn.now()))
+        if (isBlockedAsSuspect (m_calls.at (id), turn.now()))
         {
             finish (turn, id, refusal (Reason::crashesTargets));
             continue;
@@ -200,8 +198,8 @@
     call.m_dispatchedAt = turn.now();
     ++m_running;
     ++turn.counters().m_dispatches;
-    m_byRequest[request.m_content.m_id] = id;
-    m_begun.add (request.m_content.m_id, turn.now());
+    m_runningByRequest[request.m_content.m_id] = id;
+    m_activeChains.add (request.m_content.m_id, turn.now());
     m_graph.onRequest (request.m_route);
 
     if (isLogged (request.m_content.m_id))
@@ -218,8 +216,8 @@
         return;
 
     const auto call = take (turn, reply.m_call);
-    const bool isWhole = reply.m_kind == TargetReplyKind::answered;
-    const bool isFailure = ! isWhole || reply.m_answer.m_status >= serverError;
+    const bool isAnswered = reply.m_kind == TargetReplyKind::answered;
+    const bool isFailure = ! isAnswered || reply.m_answer.m_status >= serverError;
     RelayResult result;
 
     switch (reply.m_kind)
@@ -232,34 +230,34 @@
         break;
     case TargetReplyKind::notSent:
         result = refusal (Reason::targetRefusedConnection);
-        m_shutUntil = turn.now() + pauseAfterRefusedConnection;
+        m_closedUntil = turn.now() + connectionRefusedPause;
         break;
     case TargetReplyKind::broken:
         result = { Outcome::unknown, Reason::targetBroken, {}, {} };
         break;
     }
 
-    learn (call, turn.now(), isFailure);
-    noteForCrashes (turn, call, reply.m_kind);
+    addSample (call, turn.now(), isFailure);
+    updateCrashGuard (turn, call, reply.m_kind);
 
-    if (! isWhole)
-        turn.emit (detail::logBroken (call, m_target.id(), result.m_reason, m_running, turn.now()));
+    if (! isAnswered)
+        turn.emit (detail::logFailedDispatch (call, m_target.id(), result.m_reason, m_running, turn.now()));
 
     updateOpen (turn);
     answer (turn, call.m_caller, call.m_request.m_route, std::move (result));
     dispatchNext (turn);
 }
 
-void TargetGate::learn (const Call& call, Time now, bool isFailure)
+void TargetGate::addSample (const Call& call, Time now, bool isFailure)
 {
-    m_failures += ((isFailure ? 1.0 : 0.0) - m_failures) * weightOfNew;
-    m_slotTimes.learn (call.m_request.m_route, now - call.m_dispatchedAt, now);
+    m_failureRate += ((isFailure ? 1.0 : 0.0) - m_failureRate) * smoothingFactor;
+    m_slotTimes.addSample (call.m_request.m_route, now - call.m_dispatchedAt, now);
 
     if (! isFailure)
-        m_serviceTimes.learn (call.m_request.m_route, now - call.m_dispatchedAt, now);
+        m_serviceTimes.addSample (call.m_request.m_route, now - call.m_dispatchedAt, now);
 }
 
-void TargetGate::noteForCrashes (Turn& turn, const Call& call, TargetReplyKind kind)
+void TargetGate::updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind)
 {
     switch (kind)
     {
@@ -274,15 +272,15 @@
     }
 }
 
-void TargetGate::noteForCrashes (const OwnTarget::Change& change, bool wasLeaving, Time now)
+void TargetGate::updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now)
 {
     auto& watch = m_hooks.m_crashes.watch();
 
-    if (change == OwnTarget::Change::newLife || change == OwnTarget::Change::restarted)
+    if (change == OwnTarget::Change::replaced || change == OwnTarget::Change::restarted)
     {
         std::vector<ContentDigest> running;
 
-        for (const auto& [request, id] : m_byRequest)
+        for (const auto& [request, id] : m_runningByRequest)
             running.push_back (m_calls.at (id).m_request.m_digest);
 
         watch.onNewLife (wasLeaving ? std::vector<ContentDigest>() : running, now);
@@ -294,9 +292,9 @@
         watch.onLeaving();
 }
 
-/** @returns whether the request is kept from the target for what it did to others; on trial one at a time is
-    let through. */
-bool TargetGate::mayCrash (const Call& call, Time now) const
+/** @returns whether the request is withheld because requests of the same content are suspected of crashing
+    targets. Content on trial is allowed to run once at a time. */
+bool TargetGate::isBlockedAsSuspect (const Call& call, Time now) const
 {
     const auto content = call.m_request.m_digest;
 
@@ -310,15 +308,15 @@
         break;
     }
 
-    return std::any_of (m_byRequest.begin(), m_byRequest.end(), [&] (const auto& running) {
+    return std::any_of (m_runningByRequest.begin(), m_runningByRequest.end(), [&] (const auto& running) {
         return m_calls.at (running.second).m_request.m_digest == content;
     });
 }
 
-/** Counts a call that ends unrun though its chain has had work done here, which is lost with it. */
-void TargetGate::countIfLost (Turn& turn, const Call& call) const
+/** Counts a call that ends without being dispatched, if earlier work for its chain is thereby wasted. */
+void TargetGate::countIfLostWork (Turn& turn, const Call& call) const
 {
-    if (! call.m_isDispatched && m_begun.contains (call.m_request.m_content.m_id))
+    if (! call.m_isDispatched && m_activeChains.contains (call.m_request.m_content.m_id))
         ++turn.counters().m_lostCalls;
 }
 
@@ -326,40 +324,41 @@
 {
     const bool wasLeaving = m_target.isLeaving();
     const auto change = m_target.onAnnounced (announced, turn.now());
-    noteForCrashes (change, wasLeaving, turn.now());
+    updateCrashGuard (change, wasLeaving, turn.now());
 
     if (change != OwnTarget::Change::none)
         turn.emit (detail::logAnnounced (m_target));
 
     if (change == OwnTarget::Change::restarted)
-        endRunning (turn);
+        abandonRunning (turn);
 
-    if (change == OwnTarget::Change::newLife || change == OwnTarget::Change::restarted)
-        beginLife (turn);
+    if (change == OwnTarget::Change::replaced || change == OwnTarget::Change::restarted)
+        resetTargetState (turn);
 
     updateOpen (turn);
     dispatchNext (turn);
 }
 
-/** What is learned of a target holds for one life of it. Requests that wait were sent to none, so they stay;
-    so do the chains that have begun, since the answers which they have had are not lost with the target. */
-void TargetGate::beginLife (Turn& turn)
+/** Discards the measurements of the previous incarnation. Queued requests are kept, since they were not
+    dispatched, and so are active chains, since the answers they received remain valid. */
+void TargetGate::resetTargetState (Turn& turn)
 {
     m_serviceTimes.clear();
     m_slotTimes.clear();
-    m_failures = 0.0;
+    m_failureRate = 0.0;
     m_level = AdmissionLevel();
-    m_shutUntil = Time();
+    m_closedUntil = Time();
     turn.emit (DropTargetConnections {});
-    m_hooks.m_onMoved (turn);
+    m_hooks.m_onStatusChanged (turn);
 }
 
-/** Ends what runs at a target that has started again: it may have run, and no answer will come. */
-void TargetGate::endRunning (Turn& turn)
+/** Ends the requests that were running when the target restarted: their outcome is unknown and no answer will
+    arrive. */
+void TargetGate::abandonRunning (Turn& turn)
 {
     std::vector<CallId> running;
 
-    for (const auto& [request, id] : m_byRequest)
+    for (const auto& [request, id] : m_runningByRequest)
         running.push_back (id);
 
     for (const auto id : running)
@@ -383,7 +382,7 @@
     if (call.m_isDispatched)
         turn.emit (AbandonTarget { id });
 
-    countIfLost (turn, call);
+    countIfLostWork (turn, call);
     dispatchNext (turn);
 }
 
@@ -409,7 +408,7 @@
     if (! found->second.m_isDispatched)
         return finish (turn, id, refusal (Reason::deadlineExceeded));
 
-    learn (found->second, turn.now(), true);
+    addSample (found->second, turn.now(), true);
     turn.emit (AbandonTarget { id });
     finish (turn, id, { Outcome::unknown, Reason::deadlineExceeded, {}, {} });
 }
@@ -426,31 +425,31 @@
 
 void TargetGate::onWindowEnd (Turn& turn)
 {
-    m_failures *= failuresKept;
+    m_failureRate *= failureDecay;
     updateOpen (turn);
     dispatchNext (turn);
 }
 
 void TargetGate::onPeriodEnd (Turn& turn)
 {
-    m_serviceTimes.forgetBefore (turn.now() - timesKept);
-    m_slotTimes.forgetBefore (turn.now() - timesKept);
-    m_begun.forgetBefore (turn.now() - chainsKept);
+    m_serviceTimes.removeBefore (turn.now() - routeTimeRetention);
+    m_slotTimes.removeBefore (turn.now() - routeTimeRetention);
+    m_activeChains.removeBefore (turn.now() - chainRetention);
     const auto before = m_level.permille();
-    const auto asked = std::exchange (m_asked, Duration::zero());
+    const auto requested = std::exchange (m_requestedWork, Duration::zero());
     const auto capacity = m_slotTimes.isEmpty() ? Duration::zero() : AdmissionLevel::period * limit();
-    m_level.onPeriodEnd ({ asked, m_queuedWork, capacity });
+    m_level.onPeriodEnd ({ requested, m_queuedWork, capacity });
 
-    if (std::abs (m_level.permille() - m_toldLevel) >= toldStep)
+    if (std::abs (m_level.permille() - m_publishedLevel) >= admissionPublishStep)
     {
-        m_toldLevel = m_level.permille();
-        m_hooks.m_onMoved (turn);
+        m_publishedLevel = m_level.permille();
+        m_hooks.m_onStatusChanged (turn);
     }
 
-    if (before / logStep == m_level.permille() / logStep)
+    if (before / admissionLogStep == m_level.permille() / admissionLogStep)
         return;
 
-    turn.emit (detail::logAdmission ({ m_level.permille(), asked, capacity, m_queuedWork, m_queue.size(),
+    turn.emit (detail::logAdmission ({ m_level.permille(), requested, capacity, m_queuedWork, m_queue.size(),
                                        turn.counters().m_dispatches, turn.counters().m_lostCalls }));
 }
 
@@ -462,7 +461,7 @@
 
 void TargetGate::updateOpen (Turn& turn)
 {
-    const bool isOpen = ! m_isStopping && m_target.isServing (turn.now()) && turn.now() >= m_shutUntil;
+    const bool isOpen = ! m_isStopping && m_target.isServing (turn.now()) && turn.now() >= m_closedUntil;
 
     if (isOpen == m_isOpen)
         return;
@@ -472,7 +471,7 @@
     if (! m_isOpen)
         refuseQueue (turn, m_isStopping || m_target.isLeaving() ? Reason::draining : Reason::targetNotReady);
 
-    m_hooks.m_onMoved (turn);
+    m_hooks.m_onStatusChanged (turn);
 }
 
 void TargetGate::refuseQueue (Turn& turn, Reason reason)
@@ -491,7 +490,7 @@
     auto& call = node.mapped();
     m_byCaller.erase (call.m_caller);
 
-    if (m_queue.erase (keyOf (id, call)) > 0)
+    if (m_queue.erase (queueKeyOf (id, call)) > 0)
         m_queuedWork -= call.m_slotTime;
 
     turn.timers().cancel (call.m_deadline + deadlineMargin, TimerKind::gateDeadline, id);
@@ -500,7 +499,7 @@
     if (call.m_isDispatched)
     {
         --m_running;
-        m_byRequest.erase (call.m_request.m_content.m_id);
+        m_runningByRequest.erase (call.m_request.m_content.m_id);
     }
 
     return std::move (call);
@@ -511,13 +510,13 @@
     const auto call = take (turn, id);
     turn.emit (detail::logEnded (call, result.m_reason, turn.now()));
     ++turn.counters().m_refusals[result.m_reason];
-    countIfLost (turn, call);
+    countIfLostWork (turn, call);
     answer (turn, call.m_caller, call.m_request.m_route, std::move (result));
 }
 
 void TargetGate::answer (Turn& turn, const GateCaller& caller, const RouteName& route, RelayResult result)
 {
-    const auto time = m_serviceTimes.seen (route).value_or (Duration::zero());
+    const auto time = m_serviceTimes.findAverage (route).value_or (Duration::zero());
     RelayAnswer message { caller.m_call, std::move (result), status(), time, m_hooks.m_version() };
 
     if (caller.m_link == 0)
@@ -529,9 +528,9 @@
 //==============================================================================
 std::optional<TargetGate::Running> TargetGate::findRunning (std::string_view requestId) const noexcept
 {
-    const auto found = m_byRequest.find (requestId);
+    const auto found = m_runningByRequest.find (requestId);
 
-    if (found == m_byRequest.end())
+    if (found == m_runningByRequest.end())
         return std::nullopt;
 
     const auto& call = m_calls.at (found->second);
@@ -540,7 +539,7 @@
 
 void TargetGate::onCallDone (std::string_view requestId) noexcept
 {
-    if (const auto found = m_byRequest.find (requestId); found != m_byRequest.end())
+    if (const auto found = m_runningByRequest.find (requestId); found != m_runningByRequest.end())
         ++m_calls.at (found->second).m_callsDone;
 }
 
@@ -555,7 +554,7 @@
              limit(),
              static_cast<std::uint32_t> (m_calls.size()),
              m_queuedWork,
-             static_cast<std::uint16_t> (m_failures * 1000.0),
+             static_cast<std::uint16_t> (m_failureRate * 1000.0),
              m_level.permille() };
 }
 
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -3,8 +3,8 @@
 #include "plankledge_policy/Turn.h"
 #include "plankledge_policy/relay/RelaySettings.h"
 #include "plankledge_policy/relay/crashes/CrashGuard.h"
+#include "plankledge_policy/relay/gate/ActiveChains.h"
 #include "plankledge_policy/relay/gate/AdmissionLevel.h"
-#include "plankledge_policy/relay/gate/BegunChains.h"
 #include "plankledge_policy/relay/gate/GateCall.h"
 #include "plankledge_policy/relay/gate/OwnTarget.h"
 #include "plankledge_policy/relay/gate/RouteTimes.h"
@@ -20,11 +20,13 @@
 
 //==============================================================================
 /**
-    Stands in front of the own target: all requests for it pass here, from every node.
+    Admission control and queueing for the local target. Requests for the target from all
+    nodes pass through its gate.
 
-    It keeps the target's own queue empty. What has no slot waits here, by urgency; what
-    can't have a slot in time is refused before it costs anything. Once the target has said
-    that it leaves, or this node stops, nothing new is taken.
+    The gate limits the number of requests running at the target, so that the target itself
+    does not queue any. Requests above the limit are queued here; a request that cannot be
+    dispatched in time is refused at once. New requests are refused while the target is leaving
+    or this node is stopping.
 
     @see RelayEntry
 */
@@ -34,23 +36,27 @@
     //==============================================================================
     struct Hooks
     {
-        /** The answer of a call that this node sent to its own gate. */
+        /** Delivers the answer to a call that this node sent to its own gate. */
         std::function<void (Turn&, const RelayAnswer&)> m_answerLocally;
 
-        /** The gate opened or shut, or admits clearly more or less: peers are to know soon. */
-        std::function<void (Turn&)> m_onMoved;
+        /** Called when peers should be sent the gate's status without delay: it opened or closed, the target
+            was replaced, or the admission level changed considerably. */
+        std::function<void (Turn&)> m_onStatusChanged;
 
-        /** The version of the routes in force, told with each answer. */
+        /** @returns the version of the active routes, which is sent with each answer */
         std::function<ConfigurationVersion()> m_version;
 
-        /** Which requests crash targets; outlives the gate. */
+        /** Detects requests that crash targets; must outlive the gate. */
         CrashGuard& m_crashes;
     };
 
     TargetGate (const RelaySettings& settings, Hooks hooks);
 
     //==============================================================================
-    /** Takes in a request; its time left is as it is now. */
+    /** Queues, dispatches or refuses a request.
+
+        @param request   its remaining times count from now
+    */
     void receive (Turn& turn, const GateCaller& caller, RelayRequest request);
 
     void cancel (Turn& turn, const GateCaller& caller);
@@ -62,25 +68,25 @@
     void onWindowEnd (Turn& turn);
     void onPeriodEnd (Turn& turn);
 
-    /** Takes nothing new any more; what runs is finished. */
+    /** Refuses queued and new requests; running requests complete. */
     void stop (Turn& turn);
 
     //==============================================================================
-    /** A request that runs at the target. */
+    /** A request running at the target. */
     struct Running
     {
         const RelayRequest& m_request;
         Time m_chainStartedAt;
-        std::uint32_t m_callsDone = 0; /**< that it made, and that ended well */
+        std::uint32_t m_callsDone = 0; /**< nested calls that succeeded */
     };
 
-    /** @returns the request with this id, or nullopt where it does not run here */
+    /** @returns the request with this id, or nullopt if it is not running here */
     std::optional<Running> findRunning (std::string_view requestId) const noexcept;
 
-    /** A request that runs at the target made a call. */
+    /** Records a nested call made by a running request. */
     void onNestedCall (const RouteName& caller, const RouteName& callee, const ServiceName& service);
 
-    /** A call of the request with this id, which runs at the target, ended well. */
+    /** Records that a nested call of the running request with this id succeeded. */
     void onCallDone (std::string_view requestId) noexcept;
 
     GateStatus status() const noexcept;
@@ -93,51 +99,50 @@
 
 private:
     //==============================================================================
-    /** The order of the queue: chains that have begun here, since what they have taken of the slots is lost
-       with them; urgency; then the older chain among those that have begun, and the earlier arrival among
-       others. */
+    /** Queue order: active chains first, since work is wasted if they fail; then by urgency; then by the
+        start of the chain for active chains and by arrival for others. */
     using QueueKey = std::tuple<bool, std::uint16_t, Time, CallId>;
 
     using Call = detail::GateCall;
 
     Call makeCall (Turn& turn, const GateCaller& caller, RelayRequest request) const;
-    static QueueKey keyOf (CallId id, const Call& call) noexcept;
+    static QueueKey queueKeyOf (CallId id, const Call& call) noexcept;
     std::uint32_t limit() const noexcept;
     Duration expectedWait (CallId id, const Call& call) const noexcept;
-    Reason refusalOf (Turn& turn, CallId id, const Call& call) const noexcept;
+    Reason refusalReason (Turn& turn, CallId id, const Call& call) const noexcept;
     void dispatchNext (Turn& turn);
     void dispatch (Turn& turn, CallId id);
-    void beginLife (Turn& turn);
-    void endRunning (Turn& turn);
+    void resetTargetState (Turn& turn);
+    void abandonRunning (Turn& turn);
     void refuseQueue (Turn& turn, Reason reason);
     void finish (Turn& turn, CallId id, RelayResult result);
     void answer (Turn& turn, const GateCaller& caller, const RouteName& route, RelayResult result);
     Call take (Turn& turn, CallId id);
-    void learn (const Call& call, Time now, bool isFailure);
-    void noteForCrashes (Turn& turn, const Call& call, TargetReplyKind kind);
-    void noteForCrashes (const OwnTarget::Change& change, bool wasLeaving, Time now);
-    bool mayCrash (const Call& call, Time now) const;
-    void countIfLost (Turn& turn, const Call& call) const;
+    void addSample (const Call& call, Time now, bool isFailure);
+    void updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind);
+    void updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now);
+    bool isBlockedAsSuspect (const Call& call, Time now) const;
+    void countIfLostWork (Turn& turn, const Call& call) const;
     void updateOpen (Turn& turn);
 
     Hooks m_hooks;
     OwnTarget m_target;
     AdmissionLevel m_level;
-    int m_toldLevel = 1000; /**< thousandths; what peers were told at once */
+    int m_publishedLevel = 1000; /**< thousandths; as last passed to m_onStatusChanged */
     CallGraph m_graph;
     std::map<CallId, Call> m_calls;
     std::map<GateCaller, CallId> m_byCaller;
-    std::map<std::string, CallId, std::less<>> m_byRequest; /**< those that run */
+    std::map<std::string, CallId, std::less<>> m_runningByRequest; /**< running requests, by request id */
     std::map<QueueKey, CallId> m_queue;
-    BegunChains m_begun; /**< that had a call run at the target */
+    ActiveChains m_activeChains; /**< chains with a request already dispatched */
     std::size_t m_running = 0;
-    CallId m_next = 1;
-    Duration m_asked {};       /**< slot time of the requests that came in this period */
-    Duration m_queuedWork {};  /**< slot time of the requests that wait */
-    RouteTimes m_serviceTimes; /**< of whole answers */
-    RouteTimes m_slotTimes;    /**< that requests hold a slot, whatever comes of them */
-    double m_failures = 0.0;   /**< share of recent answers */
-    Time m_shutUntil;          /**< after a connection was refused */
+    CallId m_nextCallId = 1;
+    Duration m_requestedWork {}; /**< slot time of the requests received in this period */
+    Duration m_queuedWork {};    /**< slot time of the queued requests */
+    RouteTimes m_serviceTimes;   /**< of successful requests */
+    RouteTimes m_slotTimes;      /**< of all dispatched requests, including failed ones */
+    double m_failureRate = 0.0;  /**< moving average, 0 to 1 */
+    Time m_closedUntil;          /**< set when a connection was refused */
     bool m_isOpen = false;
     bool m_isStopping = false;
 };
--- a/tests/relay/gate/OwnTarget_test.cpp
+++ b/tests/relay/gate/OwnTarget_test.cpp
@@ -28,7 +28,7 @@
 struct Row
 {
     const char* m_name;
-    std::vector<TargetAnnounced> m_said;
+    std::vector<TargetAnnounced> m_announcements;
     bool m_isServing;
     TargetId m_id;
 };
@@ -135,7 +135,7 @@
         OwnTarget target (period);
         const Time now { std::chrono::hours (1) };
 
-        for (const auto& said : row.m_said)
+        for (const auto& said : row.m_announcements)
             target.onAnnounced (said, now);
 
         CHECK (target.isServing (now) == row.m_isServing);
--- a/tests/relay/gate/SlotTime_test.cpp
+++ b/tests/relay/gate/SlotTime_test.cpp
@@ -24,35 +24,35 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("times are learned by route; a route that was not seen counts as the mean of the others")
+TEST_CASE ("times are averaged per route; a route without samples is estimated as the mean of the others")
 {
     RouteTimes times;
     CHECK (times.isEmpty());
-    CHECK (times.of ("log") == Duration::zero());
+    CHECK (times.estimate ("log") == Duration::zero());
 
     const Time start { std::chrono::hours (1) };
 
     for (int index = 0; index < 200; ++index)
     {
-        times.learn ("fetch", shortTime, start + Milliseconds (10 * index));
+        times.addSample ("fetch", shortTime, start + Milliseconds (10 * index));
 
         if (index == 50)
-            times.learn ("log", longTime, start + Milliseconds (10 * index));
+            times.addSample ("log", longTime, start + Milliseconds (10 * index));
     }
 
-    CHECK (times.of ("fetch") == shortTime);
-    CHECK (times.of ("log") == longTime);
-    CHECK (times.of ("other") == (shortTime + longTime) / 2);
-    CHECK_FALSE (times.seen ("other").has_value());
+    CHECK (times.estimate ("fetch") == shortTime);
+    CHECK (times.estimate ("log") == longTime);
+    CHECK (times.estimate ("other") == (shortTime + longTime) / 2);
+    CHECK_FALSE (times.findAverage ("other").has_value());
     CHECK (times.all().size() == 2);
-    times.forgetBefore (start + Milliseconds (1000));
-    CHECK_FALSE (times.seen ("log").has_value());
-    CHECK (times.seen ("fetch").has_value());
+    times.removeBefore (start + Milliseconds (1000));
+    CHECK_FALSE (times.findAverage ("log").has_value());
+    CHECK (times.findAverage ("fetch").has_value());
     times.clear();
     CHECK (times.isEmpty());
 }
 
-TEST_CASE ("a mix that changes is no overload while the slots have room")
+TEST_CASE ("a change in the mix of routes does not lower the admission level while there are free slots")
 {
     RelayRig rig;
     rig.add ("entry", "web");
@@ -62,10 +62,10 @@
     rig.setTarget ("one", answerByRoute);
     std::vector<Ticket> tickets;
 
-    // One that shows how long the short ones take.
+    // Provides a sample of the short requests.
     tickets.push_back (rig.send ("entry", "first", "/fetch/x"));
 
-    // Long ones alone take 14 of 19 slots; then short ones alone take 12 of them, 400 a second.
+    // The long requests occupy 14 of 19 slots; then the short ones, at 400 per second, occupy 12.
     for (int index = 0; index < 120; ++index)
     {
         tickets.push_back (rig.send ("entry", "a" + std::to_string (index), "/log/x"));
@@ -86,7 +86,7 @@
     CHECK (std::all_of (tickets.begin(), tickets.end(), isServed));
 }
 
-TEST_CASE ("a target that ran long requests is not taken for a slow one")
+TEST_CASE ("a target is not considered slow because it ran requests of a slow route")
 {
     RelayRig rig;
     rig.add ("logs", "web", "zone-a");
@@ -98,7 +98,7 @@
     rig.setTarget ("one", answerByRoute);
     rig.setTarget ("two", answerByRoute);
 
-    // The long ones stay in their zone; for the short ones both targets are in another.
+    // The long requests stay in their availability zone; for the short ones both targets are in other zones.
     for (int index = 0; index < 600; ++index)
     {
         if (index % 10 == 0)
