--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -215,7 +215,7 @@
     if (! m_calls.contains (reply.m_call))
         return;
 
-    const auto call = take (turn, reply.m_call);
+    const auto call = removeCall (turn, reply.m_call);
     const bool isAnswered = reply.m_kind == TargetReplyKind::answered;
     const bool isFailure = ! isAnswered || reply.m_answer.m_status >= serverError;
     RelayResult result;
@@ -377,7 +377,7 @@
         return;
 
     const auto id = found->second;
-    const auto call = take (turn, id);
+    const auto call = removeCall (turn, id);
 
     if (call.m_isDispatched)
         turn.emit (AbandonTarget { id });
@@ -484,7 +484,7 @@
 }
 
 //==============================================================================
-TargetGate::Call TargetGate::take (Turn& turn, CallId id)
+TargetGate::Call TargetGate::removeCall (Turn& turn, CallId id)
 {
     auto node = m_calls.extract (id);
     auto& call = node.mapped();
@@ -507,7 +507,7 @@
 
 void TargetGate::finish (Turn& turn, CallId id, RelayResult result)
 {
-    const auto call = take (turn, id);
+    const auto call = removeCall (turn, id);
     turn.emit (detail::logEnded (call, result.m_reason, turn.now()));
     ++turn.counters().m_refusals[result.m_reason];
     countIfLostWork (turn, call);
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -117,7 +117,7 @@
     void refuseQueue (Turn& turn, Reason reason);
     void finish (Turn& turn, CallId id, RelayResult result);
     void answer (Turn& turn, const GateCaller& caller, const RouteName& route, RelayResult result);
-    Call take (Turn& turn, CallId id);
+    Call removeCall (Turn& turn, CallId id);
     void addSample (const Call& call, Time now, bool isFailure);
     void updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind);
     void updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now);
--- a/tests/relay/gate/LeavingAndStopping_test.cpp
+++ b/tests/relay/gate/LeavingAndStopping_test.cpp
@@ -17,19 +17,19 @@
 namespace
 {
 
-/** How a target leaves. */
+/** The announcement with which a target leaves. */
 struct LeaveRow
 {
     const char* m_name;
     AnnouncedState m_state;
 };
 
-const LeaveRow leaveRows[] = { { "it says that it drains", AnnouncedState::draining },
-                               { "it says at once that it is gone", AnnouncedState::gone } };
+const LeaveRow leaveRows[] = { { "announced as draining", AnnouncedState::draining },
+                               { "announced as gone without draining first", AnnouncedState::gone } };
 
 } // namespace
 
-TEST_CASE ("a target that leaves gets no new work, whatever comes late or starts again")
+TEST_CASE ("a leaving target gets no new work, even after a late announcement that it serves")
 {
     for (const auto& row : leaveRows)
     {
@@ -46,7 +46,7 @@
         const auto isAtOne = [] (const RelayRig::Run& run) { return run.m_instance == "one"; };
         CHECK (std::count_if (site.runs().begin(), site.runs().end(), isAtOne) == 0);
 
-        // An announcement that was on its way since before.
+        // A late announcement from before the target left.
         site.tell ("one",
                    TargetAnnounced {
                        "one-target-1", AnnouncedState::serving, 1, "plans", { "10.1.0.1", 8080 }, 20 });
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE ("a gate that starts again takes nothing before it has heard its target")
+TEST_CASE ("a restarted gate dispatches nothing before its target is announced")
 {
     RelaySite site;
     site.kill ("one");
@@ -70,7 +70,7 @@
     site.run (seconds (2));
     CHECK (site.answers().contains (early));
 
-    // Heard to be leaving: never.
+    // A target first announced as draining never gets work.
     site.announce ("two", AnnouncedState::draining);
     const auto draining = site.send ("entry", "b", "/read/x", seconds (1));
     site.run (seconds (2));
@@ -78,7 +78,7 @@
     CHECK (site.outcomeOf (draining) == Outcome::notRun);
 }
 
-TEST_CASE ("another life of a target is taken up, and the old one is not heard any more")
+TEST_CASE ("a replacement target is served, and late announcements of the previous one are ignored")
 {
     RelaySite site;
     site.announce ("one", AnnouncedState::draining);
@@ -94,7 +94,7 @@
     CHECK (site.runsOf ("a")[0].m_dispatch.m_target == "one-target-2");
 }
 
-TEST_CASE ("a planned stop cuts no request, and peers go elsewhere in good time")
+TEST_CASE ("a graceful shutdown aborts no request, and peers use other nodes in time")
 {
     RelaySite site;
     site.setTargets (always (TargetReplyKind::answered, Milliseconds (2500)));
@@ -122,7 +122,7 @@
         CHECK (run->m_instance == "two");
 }
 
-TEST_CASE ("a stopping entry is not ready, serves what comes until callers have gone elsewhere, and ends")
+TEST_CASE ("a stopping entry is not ready, serves requests for a grace period, and exits")
 {
     RelaySite site;
     site.tell ("entry", StopRequested {});
--- a/tests/relay/gate/RestartedTarget_test.cpp
+++ b/tests/relay/gate/RestartedTarget_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-/** A site whose only target of its service, at node "one", tells when it started. */
+/** A site with a single target of its service, at node "one", which announces its start time. */
 struct RestartSite : RelayRig
 {
     RestartSite()
@@ -28,7 +28,7 @@
 
 //==============================================================================
 TEST_CASE (
-    "what runs when the target starts again has an unknown outcome, and what waits runs in the new life")
+    "requests running when the target restarts have an unknown outcome; queued ones run after the restart")
 {
     RestartSite site;
     site.setTarget ("one", never);
@@ -51,14 +51,14 @@
     CHECK (site.runsOf ("waiting").size() == 1);
 }
 
-TEST_CASE ("requests go to the new life with its own slots, and late words of the earlier one change nothing")
+TEST_CASE ("a restarted target is used with its new slots, and late announcements from before are ignored")
 {
     RestartSite site;
     site.restartTarget ("one", 8);
     site.run (Milliseconds (200));
     CHECK (site.reducer ("one").relay().gate().target().slots() == 8);
 
-    // The earlier life says late that it drains.
+    // A late announcement that the earlier incarnation is draining.
     site.tell ("one", TargetAnnounced { "one-target-1",
                                         AnnouncedState::draining,
                                         999,
@@ -72,8 +72,7 @@
     CHECK (site.answers().at (ticket).m_result.m_outcome == Outcome::completed);
 }
 
-TEST_CASE (
-    "a target that left and starts again under its id is served, and the entry knows it within a second")
+TEST_CASE ("a target that left and restarts under its id gets requests again within a second")
 {
     RestartSite site;
     site.announce ("one", AnnouncedState::draining);
@@ -87,7 +86,7 @@
     CHECK (site.answers().at (ticket).m_result.m_outcome == Outcome::completed);
 }
 
-TEST_CASE ("connections that stood to the earlier life are not used for the new one")
+TEST_CASE ("connections to a target are dropped when it restarts")
 {
     RestartSite site;
     const auto before = site.connectionsDropped ("one");
--- a/tests/relay/gate/ToldLevel_test.cpp
+++ b/tests/relay/gate/ToldLevel_test.cpp
@@ -5,7 +5,7 @@
 namespace plankledge::test
 {
 
-TEST_CASE ("nodes hear of an admission level that fell without sending anything to its gate")
+TEST_CASE ("a fall of the admission level is sent to nodes that have no traffic to the gate")
 {
     RelayRig rig;
     rig.add ("busy", "web");
@@ -17,7 +17,7 @@
         inner.reply (instance, dispatch.m_call, TargetReplyKind::answered, Milliseconds (50));
     });
 
-    // A hello goes out twice a second; the gate looks at its load each 300 ms.
+    // Hellos are sent twice a second, so a change has to be sent separately to arrive within 50 ms.
     Duration latest {};
 
     for (int index = 0; index < 600; ++index)
--- a/tests/relay/gate/WholeChains_test.cpp
+++ b/tests/relay/gate/WholeChains_test.cpp
@@ -8,21 +8,15 @@
 namespace
 {
 
-/** Targets that have just started take twice their usual times. */
+/** Times of targets that have just started: twice the usual ones. */
 constexpr ChainSite::Times cold { Milliseconds (240), Milliseconds (60) };
 
 } // namespace
 
 //==============================================================================
-// After a loss of power, one target of the deepest service was left and its callers came back all at once.
-// For three seconds 216 of 242 lodgements failed and 25 were served, while the target did 677 calls, enough
-// for 84 of them. Its gate let each call wait until just before its deadline and took the calls of the oldest
-// chains first, so nearly all chains got their first calls and ran out of time before their last:
-//     "event":"request-given-up", "reason":"overloaded", "nested":"yes", "waited_ms":"635",
-//     "time_left_ms":"48" "event":"admission-moved", "asked_slot_ms":"16415", "capacity_slot_ms":"5700",
-//     "queued":"151"
-// It ended when the entries refused enough, some three seconds later.
-TEST_CASE ("when all start at once under overload, slots go to chains that end whole")
+// Guards against dispatching the first calls of all chains under overload, which leaves no chain enough time
+// for its last call, so that most of the slot time is wasted.
+TEST_CASE ("when all nodes start at once under overload, slots go to chains that complete")
 {
     ChainSite site (95, 225, 25, cold);
     site.load (std::chrono::seconds (3));
@@ -30,20 +24,19 @@
              site.lodges().m_sent, "; searches served ", site.searches().m_served, ", failed ",
              site.searches().m_failed, " of ", site.searches().m_sent);
 
-    // 950 calls can be done in these three seconds, and each lodge makes eight.
+    // There is capacity for 950 calls in these three seconds, and each lodge request makes eight.
     CHECK (site.lodges().m_served > 950 / 8 / 2);
 
-    // What can't be done is soon refused at the entry, where it may come back, and does not fail below.
+    // Excess requests are soon refused at the entry, where they can be retried, instead of failing
+    // downstream.
     CHECK (site.lodges().m_failed < site.lodges().m_sent / 2);
     CHECK (site.searches().m_failed < site.searches().m_sent / 2);
 }
 
-// Before that, in the two seconds after one of three targets had left, 35 of 68 plan corrections were refused
-// and 4 of 461 searches, of the same priority and for the same service. A correction goes straight to the
-// service, its chain is as young as itself, so that it came behind each call of a search, and it was refused
-// after 0.1 s:
-//     "event":"gate-ended", "reason":"overloaded", "dispatched":"no", "in_gate_ms":"100"
-TEST_CASE ("requests that go straight to a short service are served about as often as their equals in chains")
+// Guards against a queue order that starves requests which enter at this service: their chains are younger
+// than those of nested calls of the same priority.
+TEST_CASE (
+    "requests sent directly to an overloaded service are served about as often as chains of equal priority")
 {
     ChainSite site (40, 90, 25, {});
     site.load (std::chrono::seconds (3));
