--- a/modules/plankledge_policy/relay/gate/ActiveChains.h
+++ b/modules/plankledge_policy/relay/gate/ActiveChains.h
@@ -11,7 +11,7 @@
 
 //==============================================================================
 /**
-    The call chains for which the local target has run at least one request.
+    The call chains for which the local target has recently run at least one request.
 
     Work already done for a chain is wasted if a later call of it is refused. A chain is identified by the
     root of its calls' request ids; a request id without a parent is a chain of its own.
--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Share of the target's slots that is used, since some targets slow down when nearly full. */
+/** Percentage of the target's slots that is used, since some targets slow down when nearly full. */
 constexpr std::uint32_t maxUsedSlotsPercent = 95;
 
 /** Weight of a new sample in the moving average of the failure rate. */
@@ -78,7 +78,7 @@
         const detail::GateOccupancy occupancy { m_running, m_queue.size(), limit(), expectedWait (id, call) };
         turn.emit (detail::logGateRefused (call, reason, occupancy));
         ++turn.counters().m_refusals[reason];
-        countIfLostWork (turn, call);
+        countIfLost (turn, call);
         return answer (turn, caller, call.m_request.m_route, refusal (reason));
     }
 
@@ -314,7 +314,7 @@
 }
 
 /** Counts a call that ends without being dispatched, if earlier work for its chain is thereby wasted. */
-void TargetGate::countIfLostWork (Turn& turn, const Call& call) const
+void TargetGate::countIfLost (Turn& turn, const Call& call) const
 {
     if (! call.m_isDispatched && m_activeChains.contains (call.m_request.m_content.m_id))
         ++turn.counters().m_lostCalls;
@@ -382,7 +382,7 @@
     if (call.m_isDispatched)
         turn.emit (AbandonTarget { id });
 
-    countIfLostWork (turn, call);
+    countIfLost (turn, call);
     dispatchNext (turn);
 }
 
@@ -510,7 +510,7 @@
     const auto call = removeCall (turn, id);
     turn.emit (detail::logEnded (call, result.m_reason, turn.now()));
     ++turn.counters().m_refusals[result.m_reason];
-    countIfLostWork (turn, call);
+    countIfLost (turn, call);
     answer (turn, call.m_caller, call.m_request.m_route, std::move (result));
 }
 
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -122,7 +122,7 @@
     void updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind);
     void updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now);
     bool isBlockedAsSuspect (const Call& call, Time now) const;
-    void countIfLostWork (Turn& turn, const Call& call) const;
+    void countIfLost (Turn& turn, const Call& call) const;
     void updateOpen (Turn& turn);
 
     Hooks m_hooks;
--- a/tests/relay/gate/ToldLevel_test.cpp
+++ b/tests/relay/gate/ToldLevel_test.cpp
@@ -18,16 +18,16 @@
     });
 
     // Hellos are sent twice a second, so a change has to be sent separately to arrive within 50 ms.
-    Duration latest {};
+    Duration lag {};
 
     for (int index = 0; index < 600; ++index)
     {
         rig.send ("busy", "a" + std::to_string (index), "/read/x");
         rig.run (Milliseconds (2));
-        const auto told = rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille;
+        const auto received = rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille;
         const auto level = rig.reducer ("one").relay().gate().status().m_admittedPermille;
-        latest = told > level + 50 ? latest + Milliseconds (2) : Duration::zero();
-        CHECK (latest < Milliseconds (50));
+        lag = received > level + 50 ? lag + Milliseconds (2) : Duration::zero();
+        CHECK (lag < Milliseconds (50));
     }
 
     CHECK (rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille < 900);
