--- a/tests/relay/gate/ToldLevel_test.cpp
+++ b/tests/relay/gate/ToldLevel_test.cpp
@@ -5,7 +5,7 @@
 namespace plankledge::test
 {
 
-TEST_CASE ("nodes hear of an admission level that fell without sending anything to its gate")
+TEST_CASE ("a fall of the admission level is sent to nodes that have no traffic to the gate")
 {
     RelayRig rig;
     rig.add ("busy", "web");
@@ -17,17 +17,17 @@
         inner.reply (instance, dispatch.m_call, TargetReplyKind::answered, Milliseconds (50));
     });
 
-    // A hello goes out twice a second; the gate looks at its load each 300 ms.
-    Duration latest {};
+    // Hellos are sent twice a second, so a change has to be sent separately to arrive within 50 ms.
+    Duration lag {};
 
     for (int index = 0; index < 600; ++index)
     {
         rig.send ("busy", "a" + std::to_string (index), "/read/x");
         rig.run (Milliseconds (2));
-        const auto told = rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille;
+        const auto received = rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille;
         const auto level = rig.reducer ("one").relay().gate().status().m_admittedPermille;
-        latest = told > level + 50 ? latest + Milliseconds (2) : Duration::zero();
-        CHECK (latest < Milliseconds (50));
+        lag = received > level + 50 ? lag + Milliseconds (2) : Duration::zero();
+        CHECK (lag < Milliseconds (50));
     }
 
     CHECK (rig.reducer ("idle").relay().peers().find ("one")->m_gate.m_admittedPermille < 900);
