--- a/modules/plankledge_policy/relay/access/AccessCheck.h
+++ b/modules/plankledge_policy/relay/access/AccessCheck.h
@@ -8,13 +8,13 @@
 namespace plankledge
 {
 
-/** The request needs no key: its route is open to all, or no organisations are declared. */
+/** The request needs no key: its route is public, or no organisations are declared. */
 struct OpenAccess
 {
     auto operator<=> (const OpenAccess&) const = default;
 };
 
-/** Its key speaks for this organisation, which lives as long as the routes. */
+/** The request's key belongs to this organisation, which is valid as long as the route table. */
 struct OrganisationAccess
 {
     const Organisation* m_organisation = nullptr;
@@ -22,7 +22,7 @@
     auto operator<=> (const OrganisationAccess&) const = default;
 };
 
-/** Why a request has no access: keyMissing, keyMalformed, keyUnknown or keyUnproven. */
+/** The request is denied; the reason is keyMissing, keyMalformed, keyUnknown or keyUnproven. */
 struct AccessRefused
 {
     Reason m_reason = Reason::keyMissing;
@@ -33,21 +33,22 @@
 using Access = std::variant<OpenAccess, OrganisationAccess, AccessRefused>;
 
 //==============================================================================
-/** What is known of a request when its access is judged. */
+/** The properties of a request on which the access decision is based. */
 struct AccessRequest
 {
     const Route& m_route;
     const Credential& m_credential;
-    bool m_isProven = false; /**< no newer configuration was written until short ago */
+    bool m_isProven = false; /**< the configuration in force was recently confirmed to be the newest */
 };
 
 /**
-    Judges whether a request may be begun, and for whom it is.
+    Decides whether a request is admitted, and on behalf of which organisation.
 
-    Calls that targets make have no key: their routes are public. Nothing else tells them
-    from what callers send, so nothing else lets a request in without a key. What can't be a key is refused
-   whatever the configuration says; a key is judged, one way or the other, only by a configuration that is
-   known to be the newest: an old one would let a key in that was taken away, or turn away a new one for good.
+    Only public routes admit requests without a key; calls between targets use such routes.
+    On other routes, a missing or malformed key is always rejected. Any other key is accepted or
+    rejected only while the configuration is confirmed to be the newest: a stale one could accept
+    a revoked key, or permanently reject a new one. Without declared organisations, every request
+    is admitted.
 */
 Access judgeAccess (const Organisations& organisations, const AccessRequest& request) noexcept;
 
--- a/modules/plankledge_policy/relay/access/ConfigurationProof.cpp
+++ b/modules/plankledge_policy/relay/access/ConfigurationProof.cpp
@@ -9,19 +9,19 @@
 {
     if (version <= m_inForce)
         m_provenAt = std::max (m_provenAt.value_or (askedAt), askedAt);
-    else if (! m_waiting.has_value() || askedAt > m_waiting->m_askedAt)
-        m_waiting = Evidence { version, askedAt };
+    else if (! m_pending.has_value() || askedAt > m_pending->m_askedAt)
+        m_pending = Evidence { version, askedAt };
 }
 
 void ConfigurationProof::onInForce (ConfigurationVersion version) noexcept
 {
     m_inForce = version;
 
-    if (! m_waiting.has_value() || m_waiting->m_version > version)
+    if (! m_pending.has_value() || m_pending->m_version > version)
         return;
 
-    const auto evidence = *m_waiting;
-    m_waiting.reset();
+    const auto evidence = *m_pending;
+    m_pending.reset();
     add (evidence.m_version, evidence.m_askedAt);
 }
 
--- a/modules/plankledge_policy/relay/access/ConfigurationProof.h
+++ b/modules/plankledge_policy/relay/access/ConfigurationProof.h
@@ -10,25 +10,29 @@
 
 //==============================================================================
 /**
-    Up to when it is known that no configuration newer than the one in force was written.
+    Tracks the latest time at which the configuration in force is known to have been the newest.
 
-    Each piece of evidence says: nothing above a version had been written by a time. It
-    holds for every version from that one on, so evidence about a version that this node
-    does not have yet waits until it has it.
+    Each item of evidence states that no version above a given one had been written by a
+    given time. It also holds for every later version, so evidence about a version that this
+    node has not received yet is kept until that version is in force.
 
-    Times are of the own clock, and of when the question was asked, never of its answer.
+    All times are of the local clock and denote when the question was sent, not when it was
+    answered.
 */
 class ConfigurationProof
 {
 public:
     //==============================================================================
-    /** Evidence came in. */
+    /** Adds evidence that no version above the given one had been written at the given time.
+
+        @param askedAt   when the question was sent, by the local clock
+    */
     void add (ConfigurationVersion version, Time askedAt) noexcept;
 
-    /** Another version is in force here. */
+    /** Must be called when another version takes effect on this node. */
     void onInForce (ConfigurationVersion version) noexcept;
 
-    /** @returns by when nothing newer had been written; nullopt: nothing is known */
+    /** @returns the latest time at which no newer version existed, or nullopt if there is no evidence */
     std::optional<Time> provenAt() const noexcept { return m_provenAt; }
 
 private:
@@ -41,7 +45,7 @@
 
     ConfigurationVersion m_inForce = 0;
     std::optional<Time> m_provenAt;
-    std::optional<Evidence> m_waiting; /**< about a version that is not in force yet */
+    std::optional<Evidence> m_pending; /**< about a version that is not yet in force */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -11,29 +11,27 @@
 namespace
 {
 
-/** Parts of the bound, see the class. */
+/** Fractions of the revocation bound; see KeyGuard. */
 constexpr int readDivisor = 5;
 constexpr int askDivisor = 5;
-constexpr int askAnyoneDivisor = 2;
+constexpr int askAnyPeerDivisor = 2;
 constexpr int marginDivisor = 10;
 
-constexpr Duration readStoreAfter (Duration bound) noexcept
+constexpr Duration storeReadThreshold (Duration bound) noexcept
 {
     return bound * 6 / 10;
 }
 
-/** Between two questions: an answer takes a few milliseconds, so one that has not come by then is not waited
-    for. */
-constexpr Duration askPause = Milliseconds (350);
+/** Minimum time between two questions; one that has not been answered within it is treated as lost. */
+constexpr Duration questionInterval = Milliseconds (350);
 
-/** Between two reads of the store by a node that follows nothing: at six tenths of a bound of 5 s there is
-   time for two. */
-constexpr Duration readPause = Milliseconds (1200);
+/** Minimum time between two reads of the store by a node that is not the primary follower. */
+constexpr Duration storeReadInterval = Milliseconds (1200);
 
-/** Ages beyond this say nothing; far above any bound, so that sums can't overflow. */
-constexpr Duration longestAge = std::chrono::hours (1);
+/** Greater ages are ignored, so that arithmetic on ages received from peers can't overflow. */
+constexpr Duration maxAcceptedAge = std::chrono::hours (1);
 
-bool isReader (const Peer& peer) noexcept
+bool readsStore (const Peer& peer) noexcept
 {
     return peer.m_store.m_isFollowing && peer.m_store.m_isReached;
 }
@@ -49,14 +47,14 @@
 {
 }
 
-void KeyGuard::onRoutes (Turn& turn, const RouteTable& routes, const Peer* watcher)
+void KeyGuard::onRoutes (Turn& turn, const RouteTable& routes, const Peer* primary)
 {
     m_version = routes.version();
     m_areKeysDeclared = routes.organisations().areDeclared();
     m_proof.onInForce (m_version);
 
-    if (isNeeded() && ! isProven (turn.now()))
-        ask (turn, watcher);
+    if (isProofRequired() && ! isProven (turn.now()))
+        ask (turn, primary);
 }
 
 void KeyGuard::onConfirmed (Time askedAt) noexcept
@@ -68,36 +66,37 @@
 void KeyGuard::onQuestion (Turn& turn, LinkId link, const InstanceName& from,
                            const ProofQuestion& question) const
 {
-    if (const auto known = age (turn.now()); known.has_value() && *known <= longestAge)
+    if (const auto known = age (turn.now()); known.has_value() && *known <= maxAcceptedAge)
         turn.emit (ReplyOnLink { link, from, ProofAnswer { question.m_askedAt, m_version, *known } });
 }
 
 void KeyGuard::onAnswer (Turn& turn, const ProofAnswer& answer)
 {
     const Time askedAt (answer.m_askedAt);
-    const bool isSound = answer.m_age >= Duration::zero() && answer.m_age <= longestAge &&
-                         askedAt <= turn.now() && turn.now() - askedAt <= longestAge;
+    const bool isPlausible = answer.m_age >= Duration::zero() && answer.m_age <= maxAcceptedAge &&
+                             askedAt <= turn.now() && turn.now() - askedAt <= maxAcceptedAge;
 
-    if (isSound)
+    if (isPlausible)
         m_proof.add (answer.m_version, askedAt - answer.m_age);
 
-    noteChange (turn);
+    logProofChange (turn);
 }
 
 //==============================================================================
-void KeyGuard::onTick (Turn& turn, const Peer* watcher, bool isWatching)
+void KeyGuard::onTick (Turn& turn, const Peer* primary, bool isPrimary)
 {
-    noteChange (turn);
+    logProofChange (turn);
 
-    if (! isNeeded() || ! isOlderThan (m_bound / (isWatching ? askAnyoneDivisor : askDivisor), turn.now()))
+    if (! isProofRequired() ||
+        ! isOlderThan (m_bound / (isPrimary ? askAnyPeerDivisor : askDivisor), turn.now()))
         return;
 
-    if (turn.now() - m_askedAt >= askPause)
-        ask (turn, watcher);
+    if (turn.now() - m_askedAt >= questionInterval)
+        ask (turn, primary);
 
-    const bool isReadDue = isOlderThan (readStoreAfter (m_bound), turn.now()) && ! isWatching;
+    const bool isReadDue = isOlderThan (storeReadThreshold (m_bound), turn.now()) && ! isPrimary;
 
-    if (isReadDue && turn.now() - m_readAt >= readPause)
+    if (isReadDue && turn.now() - m_readAt >= storeReadInterval)
         readStore (turn);
 }
 
@@ -107,38 +106,39 @@
     return ! known.has_value() || *known >= limit;
 }
 
-/** @returns the watcher of the zone; where the proof is rather old, a reader of any zone, or any node */
-const Peer* KeyGuard::whomToAsk (Turn& turn, const Peer* watcher) const
+/** @returns the primary follower of the zone. If there is none, or the proof is more than half the bound old:
+    a random follower of any zone that reaches the store, or any reachable peer. */
+const Peer* KeyGuard::choosePeerToAsk (Turn& turn, const Peer* primary) const
 {
-    const bool isLate = isOlderThan (m_bound / askAnyoneDivisor, turn.now());
+    const bool isLate = isOlderThan (m_bound / askAnyPeerDivisor, turn.now());
 
-    if (! isLate && watcher != nullptr)
-        return watcher;
+    if (! isLate && primary != nullptr)
+        return primary;
 
-    std::vector<const Peer*> readers;
-    std::vector<const Peer*> heard;
+    std::vector<const Peer*> followers;
+    std::vector<const Peer*> reachable;
 
     for (const auto* peer : m_peers.others())
     {
         if (! peer->m_isHeard)
             continue;
 
-        heard.push_back (peer);
+        reachable.push_back (peer);
 
-        if (isReader (*peer))
-            readers.push_back (peer);
+        if (readsStore (*peer))
+            followers.push_back (peer);
     }
 
-    // Every other question goes to just anyone, since who reads the store may be known no better than the
+    // Half of the late questions go to any reachable peer, since the list of followers may be as stale as the
     // proof.
-    const bool isAnyone = readers.empty() || (isLate && turn.random().below (2) == 0);
-    const auto& chosen = isAnyone ? heard : readers;
+    const bool isAnyPeer = followers.empty() || (isLate && turn.random().below (2) == 0);
+    const auto& chosen = isAnyPeer ? reachable : followers;
     return chosen.empty() ? nullptr : chosen[turn.random().below (chosen.size())];
 }
 
-void KeyGuard::ask (Turn& turn, const Peer* watcher)
+void KeyGuard::ask (Turn& turn, const Peer* primary)
 {
-    const auto* peer = whomToAsk (turn, watcher);
+    const auto* peer = choosePeerToAsk (turn, primary);
 
     if (peer == nullptr)
         return;
@@ -154,11 +154,11 @@
     turn.emit (ReadTopic { StoreTopic::routes, TopicReading::once, {}, {} });
 }
 
-void KeyGuard::noteChange (Turn& turn)
+void KeyGuard::logProofChange (Turn& turn)
 {
-    const bool isOpen = ! isNeeded() || isProven (turn.now());
+    const bool isOpen = ! isProofRequired() || isProven (turn.now());
 
-    if (! isNeeded() || isOpen == m_wasProven)
+    if (! isProofRequired() || isOpen == m_wasProven)
         return;
 
     m_wasProven = isOpen;
@@ -179,7 +179,7 @@
 
 std::optional<Duration> KeyGuard::holdsFor (Time now) const noexcept
 {
-    if (! isNeeded())
+    if (! isProofRequired())
         return std::nullopt;
 
     const auto known = age (now);
@@ -194,7 +194,7 @@
 
 Duration KeyGuard::longestRead() const noexcept
 {
-    return isNeeded() ? m_bound / readDivisor : Duration::zero();
+    return isProofRequired() ? m_bound / readDivisor : Duration::zero();
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/access/KeyGuard.h
+++ b/modules/plankledge_policy/relay/access/KeyGuard.h
@@ -11,21 +11,20 @@
 
 //==============================================================================
 /**
-    Keeps the proof that the keys in force have not been taken away since, and says for how
-    long it holds.
-
-    The load it answers: keys are taken away while the store turns part of the nodes away,
-    or while they are cut off, and no request shows it. A node uses keys only while it
-    knows that shortly before no newer configuration had been written. It asks the follower
-    of its zone that reads the store for it; where that has nothing fresh, followers of any
-    zone or any node that answers, and at last the store itself.
-
-    Limits, as parts of the operators' bound: followers are asked from a fifth on, so that
-    five questions may fail; others from a half on; the store from six tenths on, since
-    each such call costs one for each node. A tenth is left as a margin for what lies
-    between the decision and the first byte to the target. With a bound of 5 s a read of
-    the watchful follower takes 1 s, and no proof of 68 nodes was older than 1.8 s while all
-    was well (virtual time).
+    Limits how long a revoked key can still be used, by requiring recent proof that the
+    configuration in force is the newest.
+
+    A node that is partitioned from the store, or rejected by it, does not learn that a key
+    was revoked. It therefore accepts keys only while its proof is younger than the
+    revocation bound. To renew the proof it asks the primary follower of its zone, then
+    followers of any zone or any reachable node, and finally the store itself.
+
+    The thresholds are fractions of the bound, chosen so that several questions may fail before
+    the proof expires: the primary follower is asked from 1/5 on, other nodes from 1/2 on, and
+    the store, which is the most expensive, from 6/10 on. 1/10 is a safety margin for the time
+    between the decision and the first byte sent to the target.
+
+    @see ConfigurationProof
 */
 class KeyGuard
 {
@@ -33,44 +32,53 @@
     //==============================================================================
     KeyGuard (const RelaySettings& settings, const Member& self, const PeerTable& peers);
 
-    /** Another version is in force. */
-    void onRoutes (Turn& turn, const RouteTable& routes, const Peer* watcher);
+    /** Must be called when another version of the routes takes effect.
+
+        @param primary   the primary follower of the zone; nullptr if unknown
+    */
+    void onRoutes (Turn& turn, const RouteTable& routes, const Peer* primary);
+
+    /** Must be called when the store has answered a read and the version it returned is in force.
 
-    /** The store answered a read that this node had sent at that time; what it read is in force. */
+        @param askedAt   when the read was sent, by the local clock
+    */
     void onConfirmed (Time askedAt) noexcept;
 
+    /** Answers a peer's question with the age of the own proof, if there is a usable one. */
     void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const ProofQuestion& question) const;
+
+    /** Adds a peer's answer to the proof. Answers with implausible times are ignored. */
     void onAnswer (Turn& turn, const ProofAnswer& answer);
 
-    /** Asks where the proof grows old.
+    /** Renews the proof if it is too old.
 
-        @param watcher   the follower that reads the store for this zone; nullptr: none is known
-        @param isWatching   this node is that one
+        @param primary   the primary follower of the zone, if it is another node; nullptr if unknown
+        @param isPrimary   true if this node is the primary follower
     */
-    void onTick (Turn& turn, const Peer* watcher, bool isWatching);
+    void onTick (Turn& turn, const Peer* primary, bool isPrimary);
 
     //==============================================================================
-    /** @returns whether keys may be used now */
+    /** @returns true if keys may be accepted now */
     bool isProven (Time now) const noexcept;
 
-    /** @returns how long a key that is used now may be relied on; nullopt: without bound */
+    /** @returns how long a key that is accepted now remains valid, or nullopt if this is unbounded */
     std::optional<Duration> holdsFor (Time now) const noexcept;
 
-    /** @returns how old the proof is; nullopt: there is none */
+    /** @returns the age of the proof, or nullopt if there is none */
     std::optional<Duration> age (Time now) const noexcept;
 
-    /** @returns how long a read of the routes by a follower may wait, so that proofs stay fresh; zero where
-       no keys have to be proven */
+    /** @returns the longest time for which the primary follower's read of the routes may block, or zero if no
+        proof is required */
     Duration longestRead() const noexcept;
 
 private:
     //==============================================================================
-    bool isNeeded() const noexcept { return m_areKeysDeclared && m_bound > Duration::zero(); }
+    bool isProofRequired() const noexcept { return m_areKeysDeclared && m_bound > Duration::zero(); }
     bool isOlderThan (Duration limit, Time now) const noexcept;
-    const Peer* whomToAsk (Turn& turn, const Peer* watcher) const;
-    void ask (Turn& turn, const Peer* watcher);
+    const Peer* choosePeerToAsk (Turn& turn, const Peer* primary) const;
+    void ask (Turn& turn, const Peer* primary);
     void readStore (Turn& turn);
-    void noteChange (Turn& turn);
+    void logProofChange (Turn& turn);
 
     const Duration m_bound;
     const InstanceName m_self;
--- a/modules/plankledge_policy/relay/access/Organisations.cpp
+++ b/modules/plankledge_policy/relay/access/Organisations.cpp
@@ -6,13 +6,13 @@
 namespace
 {
 
-using Places = std::map<std::string, std::size_t, std::less<>>;
+using IndexMap = std::map<std::string, std::size_t, std::less<>>;
 
-const Organisation* at (const std::vector<Organisation>& declared, const Places& places,
-                        std::string_view name) noexcept
+const Organisation* lookUp (const std::vector<Organisation>& declared, const IndexMap& indices,
+                            std::string_view name) noexcept
 {
-    const auto found = places.find (name);
-    return found == places.end() ? nullptr : &declared[found->second];
+    const auto found = indices.find (name);
+    return found == indices.end() ? nullptr : &declared[found->second];
 }
 
 } // namespace
@@ -22,23 +22,23 @@
     : m_declared (std::move (declared))
     , m_areDeclared (true)
 {
-    for (std::size_t place = 0; place < m_declared.size(); ++place)
+    for (std::size_t index = 0; index < m_declared.size(); ++index)
     {
-        m_byName[m_declared[place].m_name] = place;
+        m_byName[m_declared[index].m_name] = index;
 
-        for (const auto& key : m_declared[place].m_keys)
-            m_byKey[key] = place;
+        for (const auto& key : m_declared[index].m_keys)
+            m_byKey[key] = index;
     }
 }
 
 const Organisation* Organisations::ofKey (std::string_view key) const noexcept
 {
-    return at (m_declared, m_byKey, key);
+    return lookUp (m_declared, m_byKey, key);
 }
 
 const Organisation* Organisations::find (std::string_view name) const noexcept
 {
-    return at (m_declared, m_byName, name);
+    return lookUp (m_declared, m_byName, name);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/access/Organisations.h
+++ b/modules/plankledge_policy/relay/access/Organisations.h
@@ -12,46 +12,46 @@
 namespace plankledge
 {
 
-/** How many requests an organisation may send, all nodes together. */
+/** The request rate limit of an organisation, over all nodes. */
 struct RequestLimit
 {
     double m_perSecond = 0.0;
-    double m_burst = 0.0; /**< requests beyond the rate, after a time without any */
+    double m_burst = 0.0; /**< requests admitted above the rate after an idle period */
 
     auto operator<=> (const RequestLimit&) const = default;
 };
 
 //==============================================================================
-/** Whom requests are sent for, as operators declare it. */
+/** A customer on whose behalf requests are sent, as declared by the operators. */
 struct Organisation
 {
     OrganisationName m_name;
-    std::uint32_t m_priority = 0;        /**< of its requests; 0 is the last to be refused */
-    std::optional<RequestLimit> m_limit; /**< nullopt: it may send any number */
-    std::vector<std::string> m_keys;     /**< any of them speaks for it */
+    std::uint32_t m_priority = 0;        /**< of its requests; 0 is the highest and is rejected last */
+    std::optional<RequestLimit> m_limit; /**< nullopt: unlimited */
+    std::vector<std::string> m_keys;     /**< API keys, each of which identifies it */
 
     auto operator<=> (const Organisation&) const = default;
 };
 
 //==============================================================================
-/** The organisations of one version of the configuration, and which key belongs to which. */
+/** The organisations of one configuration version, indexed by name and by key. */
 class Organisations
 {
 public:
     //==============================================================================
-    /** No organisations are declared: requests need no key. */
+    /** Creates an undeclared set: requests need no key. */
     Organisations() = default;
 
-    /** @param declared   no two of them share a key */
+    /** @param declared   the organisations; no two may share a key */
     explicit Organisations (std::vector<Organisation> declared);
 
-    /** @returns whether requests need a key, be it that no organisation has one */
+    /** @returns true if requests need a key, which is also the case for a declared but empty list */
     bool areDeclared() const noexcept { return m_areDeclared; }
 
-    /** @returns the organisation that the key speaks for, or nullptr */
+    /** @returns the organisation to which the key belongs, or nullptr */
     const Organisation* ofKey (std::string_view key) const noexcept;
 
-    /** @returns the organisation of that name, or nullptr */
+    /** @returns the organisation with the given name, or nullptr */
     const Organisation* find (std::string_view name) const noexcept;
 
     const std::vector<Organisation>& all() const noexcept { return m_declared; }
@@ -61,7 +61,7 @@
 private:
     //==============================================================================
     std::vector<Organisation> m_declared;
-    std::map<std::string, std::size_t, std::less<>> m_byKey; /**< places in m_declared */
+    std::map<std::string, std::size_t, std::less<>> m_byKey; /**< indices into m_declared */
     std::map<OrganisationName, std::size_t, std::less<>> m_byName;
     bool m_areDeclared = false;
 };
--- a/tests/relay/access/AccessCheck_test.cpp
+++ b/tests/relay/access/AccessCheck_test.cpp
@@ -1,5 +1,3 @@
-/*  Who may begin a request, and for whom it is: one row for each thing a sender may show. */
-
 #include "plankledge_policy/relay/access/AccessCheck.h"
 
 #include <doctest/doctest.h>
@@ -31,35 +29,35 @@
     Credential m_credential;
     bool m_isPublic;
     bool m_isProven;
-    const char* m_organisation; /**< empty: open */
+    const char* m_organisation; /**< empty: access without an organisation */
     Reason m_refused;
 };
 
 } // namespace
 
-TEST_CASE ("access by route, credential, proof and caller")
+TEST_CASE ("access depends on route, credential and proof")
 {
     const auto organisations = twoOrganisations();
     const Credential none;
     const Credential known { CredentialKind::key, "key-2" };
     const Credential unknown { CredentialKind::key, "key-4" };
-    const Credential begun { CredentialKind::key, "key-" };
+    const Credential prefix { CredentialKind::key, "key-" };
     const Credential malformed { CredentialKind::malformed, {} };
 
     const std::vector<Row> rows {
         { "a known key", known, false, true, "surveyors", Reason::none },
-        { "the start of a known key", begun, false, true, "", Reason::keyUnknown },
+        { "a prefix of a known key", prefix, false, true, "", Reason::keyUnknown },
         { "an unknown key", unknown, false, true, "", Reason::keyUnknown },
         { "no key", none, false, true, "", Reason::keyMissing },
-        { "malformed", malformed, false, true, "", Reason::keyMalformed },
-        { "a known key, the proof too old", known, false, false, "", Reason::keyUnproven },
-        { "an unknown key, the proof too old", unknown, false, false, "", Reason::keyUnproven },
-        { "no key, the proof too old", none, false, false, "", Reason::keyMissing },
-        { "public, no key", none, true, true, "", Reason::none },
-        { "public, a known key", known, true, true, "surveyors", Reason::none },
-        { "public, an unknown key", unknown, true, true, "", Reason::none },
-        { "public, malformed", malformed, true, true, "", Reason::none },
-        { "public, the proof too old", known, true, false, "", Reason::none },
+        { "a malformed key", malformed, false, true, "", Reason::keyMalformed },
+        { "a known key, expired proof", known, false, false, "", Reason::keyUnproven },
+        { "an unknown key, expired proof", unknown, false, false, "", Reason::keyUnproven },
+        { "no key, expired proof", none, false, false, "", Reason::keyMissing },
+        { "public route, no key", none, true, true, "", Reason::none },
+        { "public route, a known key", known, true, true, "surveyors", Reason::none },
+        { "public route, an unknown key", unknown, true, true, "", Reason::none },
+        { "public route, a malformed key", malformed, true, true, "", Reason::none },
+        { "public route, a known key, expired proof", known, true, false, "", Reason::none },
     };
 
     for (const auto& row : rows)
@@ -85,22 +83,23 @@
     }
 }
 
-TEST_CASE ("without organisations no request needs a key")
+TEST_CASE ("no key is needed if no organisations are declared")
 {
     const auto route = routeOf (false);
     const Credential malformed { CredentialKind::malformed, {} };
     CHECK (judgeAccess ({}, { route, malformed, false }) == Access (OpenAccess {}));
 }
 
-TEST_CASE ("where a list of organisations is declared, be it empty, requests need keys")
+TEST_CASE ("a declared but empty list of organisations requires keys")
 {
     const auto route = routeOf (false);
-    const Organisations nobody { std::vector<Organisation> {} };
+    const Organisations noOrganisations { std::vector<Organisation> {} };
     const Credential key { CredentialKind::key, "key-1" };
-    CHECK (judgeAccess (nobody, { route, key, true }) == Access (AccessRefused { Reason::keyUnknown }));
+    CHECK (judgeAccess (noOrganisations, { route, key, true }) ==
+           Access (AccessRefused { Reason::keyUnknown }));
 }
 
-TEST_CASE ("an organisation's priority goes before the routes', which order requests of equal ones")
+TEST_CASE ("organisation priority takes precedence over route priority")
 {
     Route lodge = routeOf (false);
     lodge.m_priority = 0;
--- a/tests/relay/access/ConfigurationProof_test.cpp
+++ b/tests/relay/access/ConfigurationProof_test.cpp
@@ -17,24 +17,24 @@
 
 } // namespace
 
-TEST_CASE ("nothing is proven at first")
+TEST_CASE ("there is no proof without evidence")
 {
     CHECK_FALSE (ConfigurationProof().provenAt().has_value());
 }
 
-TEST_CASE ("the newest evidence about the version in force, or one before it, counts")
+TEST_CASE ("the newest evidence about the version in force or an earlier one is used")
 {
     ConfigurationProof proof;
     proof.onInForce (4);
     proof.add (4, after (100));
-    proof.add (3, after (200)); // nothing above 3, so nothing above 4
+    proof.add (3, after (200)); // nothing above 3 implies nothing above 4
     CHECK (proof.provenAt() == after (200));
 
-    proof.add (4, after (150)); // an answer that was overtaken
+    proof.add (4, after (150)); // out of order
     CHECK (proof.provenAt() == after (200));
 }
 
-TEST_CASE ("evidence about a version that is not here says nothing until it is")
+TEST_CASE ("evidence about a later version is used only once that version is in force")
 {
     ConfigurationProof proof;
     proof.onInForce (4);
--- a/tests/relay/access/KeyGuard_test.cpp
+++ b/tests/relay/access/KeyGuard_test.cpp
@@ -1,5 +1,5 @@
-/*  Keys that are taken away while nodes can't hear of it, in virtual time: nothing runs with them later than
-   the bound, and nodes that can know better go on. */
+/*  Guards against a revoked key being used for longer than the revocation bound, and against nodes with a
+    current configuration rejecting keys. Runs in virtual time. */
 
 #include "support/StoreFleet.h"
 
@@ -34,7 +34,7 @@
                                        { "council", 0, std::nullopt, { "key-2" } } }));
 }
 
-/** Nodes that all take requests with two keys, one of which may be taken away. */
+/** A fleet whose nodes all receive requests with two keys, one of which can be revoked. */
 struct KeyFleet : StoreFleet
 {
     struct Sent
@@ -50,7 +50,7 @@
         run (seconds (5));
     }
 
-    /** Each node gets a request with each key every 100 ms, and one without that needs none. */
+    /** Sends a request with each key to each node every 100 ms, and one to a public route every 500 ms. */
     void load (Duration duration)
     {
         const auto end = now() + duration;
@@ -77,20 +77,21 @@
         sent[name].emplace_back (send (name, id, path, seconds (2), credential), Sent { id, now() });
     }
 
-    /** @returns the longest time after the key was taken away at which a request with it was sent that ran */
-    Duration latestUse (Time takenAt) const
+    /** @returns the longest time after the revocation at which a request that ran with the key was sent */
+    Duration latestUse (Time revokedAt) const
     {
         Duration latest {};
 
         for (const auto& [name, requests] : m_surveyors)
             for (const auto& [ticket, request] : requests)
                 if (! runsOf (request.m_id).empty())
-                    latest = std::max (latest, request.m_at - takenAt);
+                    latest = std::max (latest, request.m_at - revokedAt);
 
         return latest;
     }
 
-    /** @returns the share of a node's requests with the other key, sent since then, that were served */
+    /** @returns the share of a node's requests with the other key, sent since the given time, that completed
+     */
     double servedShare (const InstanceName& name, Time since) const
     {
         double served = 0.0;
@@ -119,36 +120,36 @@
 
 } // namespace
 
-TEST_CASE ("a key that is taken away ends within a bound that all nodes keep when all is well")
+TEST_CASE ("a revoked key is rejected within 500 ms if no node is partitioned")
 {
     KeyFleet fleet (15, 3);
     fleet.load (seconds (1));
     fleet.write (tableWith (2, {}));
-    const auto takenAt = fleet.now();
+    const auto revokedAt = fleet.now();
     fleet.load (seconds (4));
-    CHECK (fleet.latestUse (takenAt) <= Milliseconds (500));
+    CHECK (fleet.latestUse (revokedAt) <= Milliseconds (500));
 
     for (const auto& name : fleet.names())
     {
         CAPTURE (name);
-        CHECK (fleet.servedShare (name, takenAt) == 1.0);
+        CHECK (fleet.servedShare (name, revokedAt) == 1.0);
     }
 }
 
-TEST_CASE ("nodes that the store turns away go on by the word of their peers")
+TEST_CASE ("nodes rejected by the store renew their proof through peers")
 {
     KeyFleet fleet (30, 3);
     fleet.load (seconds (1));
 
     for (std::size_t number = 0; number < fleet.names().size(); number += 3)
-        fleet.turnAway (fleet.names()[number]); // a third: all of one zone
+        fleet.turnAway (fleet.names()[number]); // all nodes of one zone
 
     const auto since = fleet.now();
     fleet.load (seconds (8));
     fleet.write (tableWith (2, {}));
-    const auto takenAt = fleet.now();
+    const auto revokedAt = fleet.now();
     fleet.load (seconds (5));
-    CHECK (fleet.latestUse (takenAt) < bound);
+    CHECK (fleet.latestUse (revokedAt) < bound);
 
     for (const auto& name : fleet.names())
     {
@@ -157,60 +158,61 @@
     }
 }
 
-TEST_CASE ("nodes that are cut off from the store and from the others stop using keys, and only these")
+TEST_CASE ("only nodes partitioned from both the store and their peers stop accepting keys")
 {
     KeyFleet fleet (30, 3);
     fleet.load (seconds (1));
-    std::vector<InstanceName> cutOff;
+    std::vector<InstanceName> partitioned;
 
     for (std::size_t number = 0; number < fleet.names().size(); ++number)
         if (number % 3 == 1)
-            cutOff.push_back (fleet.names()[number]);
+            partitioned.push_back (fleet.names()[number]);
 
-    for (const auto& one : cutOff)
+    for (const auto& one : partitioned)
     {
         fleet.turnAway (one);
 
         for (const auto& other : fleet.names())
-            if (std::find (cutOff.begin(), cutOff.end(), other) == cutOff.end())
+            if (std::find (partitioned.begin(), partitioned.end(), other) == partitioned.end())
                 fleet.cut (one, other);
     }
 
     fleet.write (tableWith (2, {}));
-    const auto takenAt = fleet.now();
+    const auto revokedAt = fleet.now();
     fleet.load (seconds (10));
-    CHECK (fleet.latestUse (takenAt) < bound);
-    CHECK (fleet.latestUse (takenAt) > seconds (2)); // they could not know
+    CHECK (fleet.latestUse (revokedAt) < bound);
+    CHECK (fleet.latestUse (revokedAt) >
+           seconds (2)); // until the proof expires, partitioned nodes still accept it
 
-    CHECK (fleet.servedShare (cutOff.front(), takenAt + bound) == 0.0);
-    CHECK (fleet.reducer (cutOff.front()).relay().isReady());
-    CHECK (fleet.servedShare (fleet.names().front(), takenAt) > 0.95);
+    CHECK (fleet.servedShare (partitioned.front(), revokedAt + bound) == 0.0);
+    CHECK (fleet.reducer (partitioned.front()).relay().isReady());
+    CHECK (fleet.servedShare (fleet.names().front(), revokedAt) > 0.95);
 
-    SUBCASE ("what they refuse has not run, passes later, and what needs no key is served")
+    SUBCASE ("rejected requests have not run and are retryable, and public routes are still served")
     {
-        const auto& [ticket, request] = fleet.m_council.at (cutOff.front()).back();
+        const auto& [ticket, request] = fleet.m_council.at (partitioned.front()).back();
         const auto& answer = fleet.answers().at (ticket).m_result;
         CHECK (answer.m_outcome == Outcome::notRun);
         CHECK (answer.m_reason == Reason::keyUnproven);
         CHECK (answer.m_comeBack > Duration::zero());
         CHECK (fleet.runsOf (request.m_id).empty());
 
-        const auto& open = fleet.m_public.at (cutOff.front()).back();
+        const auto& open = fleet.m_public.at (partitioned.front()).back();
         CHECK (fleet.answers().at (open.first).m_result.m_outcome == Outcome::completed);
     }
 
-    SUBCASE ("they go on within two seconds of the end of the cut")
+    SUBCASE ("partitioned nodes accept keys again within two seconds of the end of the partition")
     {
         fleet.healAll();
         fleet.letAllIn();
         fleet.load (seconds (2));
         const auto since = fleet.now();
         fleet.load (seconds (1));
-        CHECK (fleet.servedShare (cutOff.front(), since) == 1.0);
+        CHECK (fleet.servedShare (partitioned.front(), since) == 1.0);
     }
 }
 
-TEST_CASE ("while the store is away no key is used for longer than the bound, and all go on after it")
+TEST_CASE ("no key is accepted for longer than the bound during a store outage, and all are afterwards")
 {
     KeyFleet fleet (15, 3);
     fleet.load (seconds (1));
@@ -219,7 +221,7 @@
     fleet.load (seconds (9));
     CHECK (fleet.servedShare (fleet.names().front(), since + bound) == 0.0);
 
-    SUBCASE ("all were started again meanwhile: nothing is known of keys")
+    SUBCASE ("nodes restarted during the outage accept no keys")
     {
         for (const auto& name : fleet.names())
             fleet.restart (name);
@@ -241,9 +243,9 @@
     }
 }
 
-/*  A store that comes back from an older copy answers as if nothing had been written since: taken for a
-   proof, a removal of a key that was lost with it would be undone for as long as it is not written again. */
-TEST_CASE ("a store that came back without the newest version proves nothing until that stands there again")
+/*  Guards against a store restored from an older backup being taken as proof: a revocation that the backup
+    lacks would be undone. */
+TEST_CASE ("a store restored without the newest version proves nothing until that version is written again")
 {
     KeyFleet fleet (15, 3);
     fleet.load (seconds (1));
@@ -262,22 +264,22 @@
         CHECK (fleet.reducer (name).relay().keys().isProven (fleet.now()));
 }
 
-TEST_CASE ("a node that stood still uses no key by what it knew before, nor what waited in it")
+TEST_CASE ("a node resuming from a pause neither accepts nor runs requests on an expired proof")
 {
     KeyFleet fleet (6, 1);
     fleet.load (seconds (1));
     const auto& frozen = fleet.names().front();
-    const auto beforeIt = fleet.now();
+    const auto beforePause = fleet.now();
     fleet.load (Milliseconds (100));
     fleet.freeze (frozen, seconds (8));
     fleet.write (tableWith (2, {}));
-    const auto takenAt = fleet.now();
+    const auto revokedAt = fleet.now();
     fleet.load (seconds (9));
-    CHECK (fleet.latestUse (takenAt) < bound);
-    CHECK (fleet.latestUse (beforeIt) > Duration::zero());
+    CHECK (fleet.latestUse (revokedAt) < bound);
+    CHECK (fleet.latestUse (beforePause) > Duration::zero());
 }
 
-TEST_CASE ("the store's answers cost few calls, and none more where no key has a bound")
+TEST_CASE ("proofs cost few store calls, and none without a revocation bound")
 {
     const auto callsOf = [] (const RelaySettings& settings) {
         StoreFleet fleet (68, 3, settings);
@@ -289,17 +291,17 @@
         for (const auto& name : fleet.names())
             oldest = std::max (oldest,
                                fleet.reducer (name).relay().keys().age (fleet.now()).value_or (seconds (99)));
-        MESSAGE (fleet.following().size(), " follow, oldest proof ", oldest.count());
+        MESSAGE (fleet.following().size(), " followers, oldest proof ", oldest.count());
         return fleet.calls() - before;
     };
 
     const auto bounded = callsOf (boundedSettings());
     const auto unbounded = callsOf ({});
-    CHECK (unbounded <= 75); // three watchful followers
+    CHECK (unbounded <= 75); // three primary followers
     CHECK (bounded <= 110);
 }
 
-TEST_CASE ("an answer to a question is as old as the way there and back")
+TEST_CASE ("the age of an answer includes the round trip")
 {
     RelayRig rig;
     rig.settings().m_revocationBound = bound;
@@ -311,7 +313,7 @@
                          0, { "two", 1 }, ProofAnswer { askedAt.time_since_epoch(), 1, seconds (1) } });
     CHECK (rig.reducer ("one").relay().keys().age (rig.now()) == seconds (3));
 
-    SUBCASE ("nonsense counts for nothing")
+    SUBCASE ("implausible times are ignored")
     {
         for (const auto& answer : { ProofAnswer { (rig.now() + seconds (9)).time_since_epoch(), 1, {} },
                                     ProofAnswer { rig.now().time_since_epoch(), 1, -seconds (9) },
@@ -322,7 +324,7 @@
     }
 }
 
-TEST_CASE ("a configuration that can't be read proves nothing")
+TEST_CASE ("an unreadable configuration proves nothing")
 {
     RelayRig rig;
     rig.settings().m_revocationBound = bound;
