--- a/modules/plankledge_policy/relay/peers/PeerContacts.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.cpp
@@ -10,42 +10,40 @@
 namespace
 {
 
-/** A service that no request needed for so long is dropped. */
-constexpr Duration neededFor = std::chrono::seconds (60);
+/** A service that no request has needed for this long is dropped. */
+constexpr Duration unusedServiceLifetime = std::chrono::seconds (60);
 
-/** A gate's status that was heard so lately needs no hello. Load also comes with answers, so only quiet peers
-    are asked; half a second is short against the seconds in which load and admission levels move. */
-constexpr Duration freshFor = Milliseconds (500);
+/** Maximum age of a gate's status before a hello is due. Answers to requests also carry the status, so hellos
+    only go to peers without recent traffic. */
+constexpr Duration gateStatusMaxAge = Milliseconds (500);
 
-/** The same for a peer of another zone to which no request went lately. Its admission level is told at once
-   when it moves; the load is of use once requests go there. Asked as often as the others, such peers took 118
-   of 143 MB that went between zones on a quiet day of 194 nodes. */
-constexpr Duration idleFreshFor = std::chrono::seconds (2);
+/** The same for a peer of another zone that has received no recent requests; reduces traffic between zones.
+    Changes of the admission level are pushed, and the load matters only once requests go there. */
+constexpr Duration idleGateStatusMaxAge = std::chrono::seconds (2);
 
-/** A request went there lately: longer than any request of a route that is called takes. */
-constexpr Duration usedFor = std::chrono::seconds (1);
+/** A peer is idle if no request was sent to it within this time. */
+constexpr Duration recentUseWindow = std::chrono::seconds (1);
 
-/** A peer to which requests are under way is asked as soon as nothing was heard of it for so long. */
-constexpr Duration quietWithRequests = Milliseconds (200);
+/** A hello is due to a peer with requests in flight that has been quiet for this long. */
+constexpr Duration inFlightQuietLimit = Milliseconds (200);
 
-/** Calls are learned from each peer after this. They change with the targets' releases and hardly between. */
-constexpr Duration callsPeriod = std::chrono::seconds (2);
+/** Upper bound of the interval at which calls are requested from a peer; they rarely change. */
+constexpr Duration maxCallsInterval = std::chrono::seconds (2);
 
-/** The first time they are asked for again after this, then after twice as long, and so on: just after a
-   start a peer has seen none yet, and until they are known nothing is refused for a service that only calls
-   reach. With two seconds from the first time on, 446 of 675 requests failed below in the first three
-   seconds, now 194. */
-constexpr Duration firstCallsPeriod = Milliseconds (200);
+/** Initial interval at which calls are requested from a peer; it doubles up to the maximum. Must be short:
+    a peer that has just started has seen no calls yet, and until they are known, no request is rejected on
+    behalf of a service that is reached only through calls. */
+constexpr Duration minCallsInterval = Milliseconds (200);
 
-/** Between two hellos to a peer that does not answer: as long as a process takes to start again. */
-constexpr Duration askAgainAfter = Milliseconds (700);
+/** Interval of hellos to a peer that doesn't answer; about the duration of a process restart. */
+constexpr Duration helloRetryInterval = Milliseconds (700);
 
-/** A peer that has left hellos unanswered for so long gives up its place in the subset of its service. */
-constexpr Duration keptInSubset = std::chrono::seconds (2);
+/** A peer that has left hellos unanswered for this long no longer counts towards the size of the subset. */
+constexpr Duration subsetRetention = std::chrono::seconds (2);
 
-bool isGone (const Peer& peer, Time now) noexcept
+bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isHeard && peer.m_askedAt.has_value() && now - *peer.m_askedAt > keptInSubset;
+    return ! peer.m_isHeard && peer.m_askedAt.has_value() && now - *peer.m_askedAt > subsetRetention;
 }
 
 } // namespace
@@ -96,15 +94,15 @@
 
     for (const auto& entry : ranked)
     {
-        if (counted >= most)
+        if (counted >= maxInSubset)
             break;
 
-        if (! entry.m_isOtherZone && inZone >= mostInZone)
+        if (! entry.m_isOtherZone && inZone >= maxInZone)
             continue;
 
         subset.push_back (entry.m_peer);
 
-        if (isGone (*entry.m_peer, now))
+        if (isUnreachable (*entry.m_peer, now))
             continue;
 
         ++counted;
@@ -116,7 +114,8 @@
 
 std::vector<Peer*> PeerContacts::due (const PeerTable& peers, Time now)
 {
-    std::erase_if (m_neededAt, [now] (const auto& entry) { return now - entry.second > neededFor; });
+    std::erase_if (m_neededAt,
+                   [now] (const auto& entry) { return now - entry.second > unusedServiceLifetime; });
     std::vector<Peer*> result;
 
     for (const auto& [service, neededAt] : m_neededAt)
@@ -129,29 +128,31 @@
 
 bool PeerContacts::areCallsDue (const Peer& peer, Time now) noexcept
 {
-    auto period = firstCallsPeriod;
+    auto period = minCallsInterval;
 
-    for (unsigned heard = 1; heard < peer.m_callsHeard && period < callsPeriod; ++heard)
+    for (unsigned update = 1; update < peer.m_callsUpdates && period < maxCallsInterval; ++update)
         period *= 2;
 
-    return now - peer.m_callsAt >= std::min (period, callsPeriod);
+    return now - peer.m_callsAt >= std::min (period, maxCallsInterval);
 }
 
 bool PeerContacts::isQuietWithRequests (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_askedAt.has_value() && peer.m_underWay > 0 && now - peer.m_heardAt >= quietWithRequests;
+    return ! peer.m_askedAt.has_value() && peer.m_requestsInFlight > 0 &&
+           now - peer.m_heardAt >= inFlightQuietLimit;
 }
 
 bool PeerContacts::isDue (const Peer& peer, const ZoneName& zone, Time now) noexcept
 {
     if (peer.m_askedAt.has_value())
-        return now - peer.m_lastAskedAt >= askAgainAfter;
+        return now - peer.m_lastAskedAt >= helloRetryInterval;
 
     if (isQuietWithRequests (peer, now))
         return true;
 
-    const bool isIdle = peer.m_member.m_zone != zone && now - peer.m_sentAt >= usedFor;
-    return now - peer.m_gateAt >= (isIdle ? idleFreshFor : freshFor) || areCallsDue (peer, now);
+    const bool isIdle = peer.m_member.m_zone != zone && now - peer.m_sentAt >= recentUseWindow;
+    return now - peer.m_gateUpdatedAt >= (isIdle ? idleGateStatusMaxAge : gateStatusMaxAge) ||
+           areCallsDue (peer, now);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/peers/PeerContacts.h
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.h
@@ -12,14 +12,14 @@
 
 //==============================================================================
 /**
-    Chooses the peers that this node keeps contact with: a bounded subset of each service
-    that its requests need, directly or by their calls. So the links and hellos of a node
-    depend on the services it uses and not on the number of nodes.
+    Selects the peers with which this node keeps contact: a bounded subset of each service
+    that its requests need, directly or through the calls they cause. The number of links and
+    hellos of a node thus depends on the services it uses and not on the number of nodes.
 
-    The subset of a service is chosen by rendezvous hashing, most of it in the own zone. Each
-    node has another subset, so that all targets get their share and a new one is in the
-    subsets of some nodes at once. A peer that can't be reached does not count towards the
-    subset, and is asked again now and then.
+    The subset of a service is chosen by rendezvous hashing and prefers the own zone. Each
+    node has a different subset, so that load is spread over all targets and a new target is
+    in some subsets at once. An unreachable peer does not count towards the size of the
+    subset; it is contacted again periodically.
 
     @see PeerTable
 */
@@ -27,41 +27,46 @@
 {
 public:
     //==============================================================================
-    /** Nodes of the own zone in the subset of a service. With eight, the number of subsets that a target is
-       in varies by about a third (computed), which the choice by expected waiting evens out. */
-    static constexpr std::size_t mostInZone = 8;
+    /** Maximum number of nodes of the own zone in the subset of a service. Must be large enough that targets
+        are in similar numbers of subsets. */
+    static constexpr std::size_t maxInZone = 8;
 
-    /** Nodes in the subset; those of other zones take what the own zone has no room for. */
-    static constexpr std::size_t most = 12;
+    /** Maximum number of nodes in the subset; nodes of other zones fill up what the own zone leaves free. */
+    static constexpr std::size_t maxInSubset = 12;
 
     explicit PeerContacts (const Member& self);
 
-    /** A request needs the service.
+    /** Records that a request needs the service.
 
-        @returns whether the service was not needed before
+        @returns true if the service was not needed before
     */
     bool need (const ServiceName& service, Time now);
 
-    /** @returns the subset of one service */
+    /** @returns the subset of the service, including unreachable peers, in order of preference */
     std::vector<Peer*> ofService (const ServiceName& service, const PeerTable& peers, Time now) const;
 
-    /** @returns those in all subsets that are due a hello, and no longer needed services are dropped */
+    /** Drops services that are no longer needed.
+
+        @returns the peers in all subsets to which a hello is due
+    */
     std::vector<Peer*> due (const PeerTable& peers, Time now);
 
-    /** @param zone   of this node: peers of other zones are asked less often unless requests go there */
+    /** @param zone   the zone of this node; idle peers of other zones are contacted less often
+        @returns true if a hello to the peer is due
+    */
     static bool isDue (const Peer& peer, const ZoneName& zone, Time now) noexcept;
 
-    /** @returns whether requests are under way at the peer and nothing was heard of it lately, nor asked */
+    /** @returns true if requests are in flight to a peer that has been quiet and has no unanswered hello */
     static bool isQuietWithRequests (const Peer& peer, Time now) noexcept;
 
-    /** @returns whether the peer is to be asked for the calls that were seen there */
+    /** @returns true if the calls seen at the peer are due to be requested */
     static bool areCallsDue (const Peer& peer, Time now) noexcept;
 
 private:
     //==============================================================================
     const InstanceName m_self;
     const ZoneName m_zone;
-    const std::uint64_t m_hash; /**< of the own name */
+    const std::uint64_t m_hash; /**< of this node's name */
     std::map<ServiceName, Time> m_neededAt;
 };
 
--- a/modules/plankledge_policy/relay/peers/PeerTable.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerTable.cpp
@@ -18,7 +18,7 @@
     if (load() < limit)
         return {};
 
-    return (m_gate.m_queuedWork + m_workSince + timeOf (route)) / limit;
+    return (m_gate.m_queuedWork + m_workSinceStatus + timeOf (route)) / limit;
 }
 
 //==============================================================================
@@ -28,10 +28,10 @@
     auto& own = m_peers[m_self];
     own.m_member = self;
     own.m_isHeard = true;
-    index();
+    rebuildIndexes();
 }
 
-void PeerTable::index()
+void PeerTable::rebuildIndexes()
 {
     m_byService.clear();
     m_byZone.clear();
@@ -46,8 +46,8 @@
 namespace
 {
 
-/** A node's record stays in the store for its later lives, which differ from it only in the incarnation. */
-bool isEarlierLife (const Member& member, const Peer& known) noexcept
+/** A restart at the same address doesn't update the record, so the store may hold an earlier incarnation. */
+bool isEarlierIncarnation (const Member& member, const Peer& known) noexcept
 {
     return known.m_member.m_endpoint == member.m_endpoint && known.m_member.m_service == member.m_service &&
            known.m_member.m_zone == member.m_zone && known.m_member.m_id > member.m_id;
@@ -62,41 +62,41 @@
     if (instance == m_self)
         return false;
 
-    // An address belongs to one node at a time: whoever is named with it last has it.
+    // An address belongs to one node at a time: the latest to be learned replaces an unreachable one.
     const auto erased = std::erase_if (m_peers, [&] (const auto& entry) {
         return entry.first != instance && entry.first != m_self &&
                entry.second.m_member.m_endpoint == member.m_endpoint && ! entry.second.m_isHeard;
     });
 
     if (erased > 0)
-        index();
+        rebuildIndexes();
 
     auto& peer = m_peers[instance];
 
     if (peer.m_member == member ||
-        (source == Source::store && (peer.m_isHeard || isEarlierLife (member, peer))))
+        (source == Source::store && (peer.m_isHeard || isEarlierIncarnation (member, peer))))
         return false;
 
-    const bool isSameLife =
+    const bool isSameIncarnation =
         peer.m_member.m_id == member.m_id && peer.m_member.m_endpoint == member.m_endpoint;
 
-    if (! isSameLife)
+    if (! isSameIncarnation)
         peer = Peer();
 
     peer.m_member = member;
-    index();
-    return ! isSameLife;
+    rebuildIndexes();
+    return ! isSameIncarnation;
 }
 
 void PeerTable::forget (const InstanceName& instance)
 {
     const auto found = m_peers.find (instance);
 
-    // A node that answers is there, whatever the store says.
+    // A reachable node is kept, even if the store has no record of it.
     if (found != m_peers.end() && instance != m_self && ! found->second.m_isHeard)
     {
         m_peers.erase (found);
-        index();
+        rebuildIndexes();
     }
 }
 
@@ -120,9 +120,9 @@
         return false;
 
     const bool wasOpen = std::exchange (peer->m_gate, gate).m_isOpen;
-    peer->m_gateAt = now;
-    peer->m_sentSince = 0;
-    peer->m_workSince = Duration::zero();
+    peer->m_gateUpdatedAt = now;
+    peer->m_sentSinceStatus = 0;
+    peer->m_workSinceStatus = Duration::zero();
     return gate.m_isOpen && ! wasOpen;
 }
 
@@ -133,22 +133,22 @@
     if (peer == nullptr)
         return;
 
-    // Only what finds no free slot adds to the wait of the next.
+    // Only requests that find no free slot add to the wait of later ones.
     if (peer->load() >= peer->m_gate.m_limit)
-        peer->m_workSince += peer->timeOf (route);
+        peer->m_workSinceStatus += peer->timeOf (route);
 
     peer->m_sentAt = now;
-    ++peer->m_sentSince;
-    ++peer->m_underWay;
+    ++peer->m_sentSinceStatus;
+    ++peer->m_requestsInFlight;
 }
 
 void PeerTable::onEnded (const InstanceName& instance)
 {
     auto* peer = find (instance);
 
-    // A peer that started again meanwhile has none of them.
-    if (peer != nullptr && peer->m_underWay > 0)
-        --peer->m_underWay;
+    // The count was reset if the peer has restarted.
+    if (peer != nullptr && peer->m_requestsInFlight > 0)
+        --peer->m_requestsInFlight;
 }
 
 void PeerTable::onRouteTime (const InstanceName& instance, const RouteTime& time)
@@ -190,7 +190,7 @@
         return;
 
     peer->m_callsAt = now;
-    ++peer->m_callsHeard;
+    ++peer->m_callsUpdates;
 }
 
 void PeerTable::onAsked (const InstanceName& instance, Time now)
@@ -232,7 +232,7 @@
 
 std::vector<InstanceName> PeerTable::takeSilent (Time now)
 {
-    std::vector<InstanceName> silent;
+    std::vector<InstanceName> unreachable;
 
     for (auto& [instance, peer] : m_peers)
     {
@@ -241,14 +241,14 @@
 
         const bool isUnanswered = peer.m_askedAt.has_value() && now - *peer.m_askedAt > silenceLimit;
 
-        if (! isUnanswered && now - peer.m_heardAt <= forgottenAfter)
+        if (! isUnanswered && now - peer.m_heardAt <= unheardTimeout)
             continue;
 
         peer.m_isHeard = false;
-        silent.push_back (instance);
+        unreachable.push_back (instance);
     }
 
-    return silent;
+    return unreachable;
 }
 
 //==============================================================================
--- a/modules/plankledge_policy/relay/peers/PeerTable.h
+++ b/modules/plankledge_policy/relay/peers/PeerTable.h
@@ -3,7 +3,7 @@
 #include "plankledge_core/Member.h"
 #include "plankledge_core/RelayMessages.h"
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/relay/peers/LinkClock.h"
+#include "plankledge_policy/relay/peers/LinkDelayEstimator.h"
 
 #include <map>
 #include <optional>
@@ -13,131 +13,144 @@
 {
 
 //==============================================================================
-/** A node as this node knows it. */
+/** The state of a node as known to this node. */
 struct Peer
 {
     Member m_member;
-    GateStatus m_gate;                     /**< as last heard */
-    std::uint32_t m_sentSince = 0;         /**< requests sent there since the gate's status was heard */
-    std::uint32_t m_underWay = 0;          /**< requests sent there that have not ended */
-    Duration m_workSince {};               /**< slot time that these are expected to take */
-    std::map<RouteName, Duration> m_times; /**< of requests of each route at its target, as last heard */
-    Time m_gateAt;                         /**< when that was heard */
-    Time m_callsAt;                        /**< when the calls seen there were heard */
-    unsigned m_callsHeard = 0;             /**< how often they were */
-    Time m_sentAt;                         /**< when a request was sent there last */
-    Time m_heardAt;                        /**< any frame of its */
-    bool m_isHeard = false;                /**< it answered lately */
-    std::optional<Time> m_askedAt;         /**< first hello since it was last heard */
-    Time m_lastAskedAt;                    /**< newest hello */
-    LinkId m_inboundLink = 0;              /**< the connection that it opened to this node; 0: none known */
-    LinkClock m_clock;
-    StoreView m_store; /**< what it has of the store, as last heard */
-
-    /** @returns requests that run or wait there, by what is known */
-    std::uint32_t load() const noexcept { return m_gate.m_inGate + m_sentSince; }
-
-    /** @returns how long a request of the route takes at its target; 0 where that is not known */
+    GateStatus m_gate;                     /**< as last received */
+    std::uint32_t m_sentSinceStatus = 0;   /**< requests sent to it since m_gate was received */
+    std::uint32_t m_requestsInFlight = 0;  /**< requests sent to it that have not ended */
+    Duration m_workSinceStatus {};         /**< slot time expected for requests queued since then */
+    std::map<RouteName, Duration> m_times; /**< request duration per route at its target, as last received */
+    Time m_gateUpdatedAt;                  /**< when m_gate was received */
+    Time m_callsAt;                        /**< when the calls seen at it were last received */
+    unsigned m_callsUpdates = 0;           /**< how often calls were received */
+    Time m_sentAt;                         /**< when a request was last sent to it */
+    Time m_heardAt;                        /**< when any frame from it was last received */
+    bool m_isHeard = false;                /**< it is considered reachable */
+    std::optional<Time> m_askedAt;         /**< when the oldest unanswered hello was sent; nullopt: none */
+    Time m_lastAskedAt;                    /**< when the latest hello was sent */
+    LinkId m_inboundLink = 0;              /**< the connection it opened to this node; 0: none */
+    LinkDelayEstimator m_clock;
+    StoreView m_store; /**< its view of the store, as last received */
+
+    /** @returns the estimated number of requests that run or wait at its gate */
+    std::uint32_t load() const noexcept { return m_gate.m_inGate + m_sentSinceStatus; }
+
+    /** @returns how long a request of the route takes at its target, or zero if unknown */
     Duration timeOf (const RouteName& route) const noexcept;
 
-    /** @returns how long a request that is sent now would wait there for a slot */
+    /** @returns how long a request sent now is expected to wait for a slot at its gate */
     Duration expectedWait (const RouteName& route) const noexcept;
 };
 
 //==============================================================================
 /**
-    The nodes that this node knows, itself included, and how their gates are.
+    The nodes known to this node, including itself, with the state of their gates.
 
-    Who exists is read from the store, or heard from a peer's own hello; whether one can be
-    reached and what its gate admits is known from the links alone.
+    The existence of a node is learned from the store or from the node's own hello. Its
+    reachability and the state of its gate are learned only from direct communication.
 */
 class PeerTable
 {
 public:
     //==============================================================================
-    /** A peer that leaves a hello unanswered for so long takes no requests. Processes that have used up
-        their share of a processor stand still for 90 ms at a time, and several may follow each other. */
+    /** A peer that leaves a hello unanswered for this long is unreachable and receives no requests. Must
+        tolerate several consecutive pauses of a CPU-throttled process. */
     static constexpr Duration silenceLimit = Milliseconds (600);
 
-    /** A peer that this node does not keep contact with, and that says nothing itself, is no longer known
-        to be there after this: twice the longest time between two hellos, and a pause. */
-    static constexpr Duration forgottenAfter = Milliseconds (4500);
+    /** A peer from which nothing has been received for this long is unreachable, even if no hello was sent to
+        it. Must exceed twice the longest interval of hellos. */
+    static constexpr Duration unheardTimeout = Milliseconds (4500);
 
     explicit PeerTable (const Member& self);
 
-    /** Whose word about a node it is. */
+    /** The origin of information about a node. */
     enum class Source : std::uint8_t
     {
-        store, /**< may be of an earlier life: does not count against one that answers */
-        itself
+        store, /**< may be outdated: does not override a reachable node */
+        itself /**< the node's own hello */
     };
 
-    /** @returns whether this is news: another life, address or an unknown node */
+    /** Adds or updates a node.
+
+        @returns true if the node is new, or has another incarnation or address
+    */
     bool learn (const Member& member, Source source);
 
-    /** The store no longer names the node. */
+    /** Removes a node that the store no longer lists, unless it is reachable. */
     void forget (const InstanceName& instance);
 
-    /** A frame came from the peer.
+    /** Must be called when a frame from the peer has been received.
 
-        @returns whether it had been silent before
+        @returns true if the peer was unreachable before
     */
     bool onHeard (const NodeId& from, Time now);
 
-    /** @returns whether the gate opened just now */
+    /** Updates the state of the peer's gate.
+
+        @returns true if the gate was closed before and is now open
+    */
     bool onGate (const InstanceName& instance, const GateStatus& gate, Time now);
+
+    /** Must be called when a request has been sent to the peer. */
     void onSent (const InstanceName& instance, const RouteName& route, Time now);
 
-    /** A request that was sent there is there no more, for whatever reason. */
+    /** Must be called when a request sent to the peer has ended, for whatever reason. */
     void onEnded (const InstanceName& instance);
 
-    /** A peer told how long requests of a route take at its target. */
+    /** Updates how long requests of one route take at the peer's target. */
     void onRouteTime (const InstanceName& instance, const RouteTime& time);
 
-    /** The same for all routes that its target has run lately; others are not known any more. */
+    /** Replaces the durations of all routes at the peer's target; those of other routes become unknown. */
     void onRouteTimes (const InstanceName& instance, const std::vector<RouteTime>& times);
 
-    /** The peer told what it has of the store. */
+    /** Updates the peer's view of the store. */
     void onStoreView (const InstanceName& instance, const StoreView& view);
 
-    /** The peer told the calls that were seen there. */
+    /** Must be called when the peer has sent the calls seen at it. */
     void onCalls (const InstanceName& instance, Time now);
 
-    /** A hello was sent to the peer. */
+    /** Must be called when a hello has been sent to the peer. */
     void onAsked (const InstanceName& instance, Time now);
 
-    /** The peer said something over a connection that it opened to this node.
+    /** Records the connection that the peer opened to this node.
 
-        @returns whether it is another one than before
+        @returns true if it differs from the previous one
     */
     bool onInboundLink (const InstanceName& instance, LinkId link);
+
+    /** Must be called when a connection has been closed. */
     void onLinkClosed (LinkId link);
 
-    /** This process stood still: what was not heard meanwhile says nothing about the peers. */
+    /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
     void onPause (Time now) noexcept;
 
-    /** The peer can't be reached.
+    /** Marks the peer as unreachable.
 
-        @returns whether it was heard until now
+        @returns true if it was reachable before
     */
     bool onUnreachable (const InstanceName& instance);
 
-    /** @returns peers that fell silent just now */
+    /** Marks peers as unreachable that have exceeded a timeout.
+
+        @returns those that were reachable before
+    */
     std::vector<InstanceName> takeSilent (Time now);
 
     Peer* find (const InstanceName& instance) noexcept;
     const Peer* find (const InstanceName& instance) const noexcept;
 
-    /** @returns nodes of the service that can be reached and whose gates are open */
+    /** @returns the reachable nodes of the service whose gates are open */
     std::vector<const Peer*> takingWork (const ServiceName& service) const;
 
-    /** @returns all nodes of the service, in the order of their names */
+    /** @returns all nodes of the service, ordered by name */
     const std::vector<Peer*>& ofService (const ServiceName& service) const;
 
-    /** @returns all nodes of the zone, this one included where it is of it, in the order of their names */
+    /** @returns all nodes of the zone, possibly including this one, ordered by name */
     const std::vector<Peer*>& ofZone (const ZoneName& zone) const;
 
-    /** @returns all nodes but this one */
+    /** @returns all nodes except this one, ordered by name */
     std::vector<const Peer*> others() const;
 
     const InstanceName& self() const noexcept { return m_self; }
@@ -145,7 +158,7 @@
 
 private:
     //==============================================================================
-    void index();
+    void rebuildIndexes();
 
     const InstanceName m_self;
     std::map<InstanceName, Peer> m_peers;
--- a/modules/plankledge_policy/relay/store/MemberBook.cpp
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.cpp
@@ -1,24 +1,24 @@
-#include "plankledge_policy/relay/store/MemberBook.h"
+#include "plankledge_policy/relay/store/MemberDirectory.h"
 
 #include <utility>
 
 namespace plankledge
 {
 
-void MemberBook::take (const MembersRead& read)
+void MemberDirectory::apply (const MembersRead& read)
 {
     if (read.m_end.m_era < m_end.m_era)
-        return; // late word of what the store was before
+        return; // out of order: from an earlier era
 
-    // Pages of two eras never mix.
-    if (std::exchange (m_listedEra, read.m_end.m_era) != read.m_end.m_era)
-        m_listed.clear();
+    // Pages of different eras must not be combined.
+    if (std::exchange (m_stagedEra, read.m_end.m_era) != read.m_end.m_era)
+        m_staged.clear();
 
     for (const auto& member : read.m_members)
-        note (member.m_id.m_instance, member);
+        stage (member.m_id.m_instance, member);
 
     for (const auto& instance : read.m_withdrawn)
-        note (instance, std::nullopt);
+        stage (instance, std::nullopt);
 
     if (! read.m_end.isKnown())
         return;
@@ -28,14 +28,14 @@
 
     m_end = read.m_end;
 
-    for (auto& [instance, member] : std::exchange (m_listed, {}))
+    for (auto& [instance, member] : std::exchange (m_staged, {}))
         m_entries[instance] = { std::move (member), m_end };
 }
 
-MembersTold MemberBook::since (const StorePlace& have) const
+MembersTold MemberDirectory::since (const StorePlace& have) const
 {
-    MembersTold told;
-    told.m_end = m_end;
+    MembersTold changes;
+    changes.m_end = m_end;
 
     for (const auto& [instance, entry] : m_entries)
     {
@@ -43,15 +43,15 @@
             continue;
 
         if (entry.m_member.has_value())
-            told.m_members.push_back (*entry.m_member);
+            changes.m_members.push_back (*entry.m_member);
         else
-            told.m_withdrawn.push_back (instance);
+            changes.m_withdrawn.push_back (instance);
     }
 
-    return told;
+    return changes;
 }
 
-bool MemberBook::names (const Member& member) const noexcept
+bool MemberDirectory::matches (const Member& member) const noexcept
 {
     const auto found = m_entries.find (member.m_id.m_instance);
 
--- a/modules/plankledge_policy/relay/store/StoreFollowers.cpp
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.cpp
@@ -16,8 +16,8 @@
     const Peer* m_peer = nullptr;
 };
 
-/** @returns whether the peer can't be reached, or is only now asked whether it can */
-bool isGone (const Peer& peer, Time now) noexcept
+/** @returns true if hellos to the peer have been unanswered for longer than replacedAfter */
+bool isUnreachable (const Peer& peer, Time now) noexcept
 {
     return ! peer.m_isHeard && peer.m_askedAt.has_value() &&
            now - *peer.m_askedAt > StoreFollowers::replacedAfter;
@@ -44,12 +44,12 @@
                [] (const Ranked& one, const Ranked& other) { return one.m_weight > other.m_weight; });
 
     Chosen chosen;
-    std::size_t served = 0; // that can read the store, as far as is known
-    std::size_t asked = 0;  // that can be reached
+    std::size_t readerCount = 0;    // selected nodes known to reach the store
+    std::size_t reachableCount = 0; // selected nodes that are reachable
 
     for (const auto& [weight, peer] : ranked)
     {
-        if (served >= perZone || asked >= mostPerZone)
+        if (readerCount >= followersPerZone || reachableCount >= maxFollowersPerZone)
             break;
 
         const bool isSelf = peer->m_member.m_id.m_instance == m_self;
@@ -57,18 +57,18 @@
         if (isSelf)
         {
             chosen.m_isSelf = true;
-            chosen.m_isFirst = served == 0;
+            chosen.m_isFirst = readerCount == 0;
         }
         else
         {
             chosen.m_others.push_back (peer->m_member.m_id.m_instance);
         }
 
-        if (! isSelf && isGone (*peer, now))
+        if (! isSelf && isUnreachable (*peer, now))
             continue;
 
-        ++asked;
-        served += (isSelf ? isReached : peer->m_store.m_isReached) ? 1 : 0;
+        ++reachableCount;
+        readerCount += (isSelf ? isReached : peer->m_store.m_isReached) ? 1 : 0;
     }
 
     return chosen;
--- a/modules/plankledge_policy/relay/store/StoreFollowers.h
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.h
@@ -9,45 +9,48 @@
 
 //==============================================================================
 /**
-    Says which nodes of a zone follow the store, so that the others need not.
+    Selects the nodes of a zone that follow the store on behalf of the others.
 
-    The load it answers: where every node waits for every record, the starts of n nodes
-    cost n calls each, and the calls of a fleet grow with its square. Here two nodes a zone
-    read, the first in a rendezvous order of the zone's nodes that each node computes from
-    what it knows. Nothing is agreed: two nodes that know different peers may both follow,
-    which costs calls and harms nothing, and whoever hears no follower follows itself.
+    If every node followed the store, the number of store calls would grow with the square of
+    the number of nodes. Instead, the first nodes in the rendezvous order of the zone follow
+    it. Each node computes this order from the peers it knows, without any agreement: nodes
+    with different views may select too many followers, which only costs calls, and a node
+    that reaches no follower follows the store itself.
 
-    Two a zone: with one, its loss leaves the zone without news until it is noticed. Four at
-    most where the store turns the first ones away: more would only be turned away, too.
+    Two nodes follow per zone, so that updates continue when one fails, and up to four where
+    the store rejects some of them.
 */
 class StoreFollowers
 {
 public:
     //==============================================================================
-    static constexpr std::size_t perZone = 2;
-    static constexpr std::size_t mostPerZone = 4;
+    static constexpr std::size_t followersPerZone = 2;
+    static constexpr std::size_t maxFollowersPerZone = 4;
 
-    /** Hellos that a node may leave unanswered for so long before the next in the order takes its place: the
-        silence after which a peer takes no requests, and a process that starts again. */
+    /** How long hellos to a node may stay unanswered before the next node in the order replaces it. Allows
+        for a process restart. */
     static constexpr Duration replacedAfter = std::chrono::seconds (2);
 
     struct Chosen
     {
         bool m_isSelf = false;
-        bool m_isFirst = false;             /**< this node, and none before it that the store answers */
-        std::vector<InstanceName> m_others; /**< in their order, those that can't be reached included */
+        bool m_isFirst = false; /**< this node is selected, and no node before it reaches the store */
+        std::vector<InstanceName> m_others; /**< in rendezvous order, including unreachable ones */
     };
 
     explicit StoreFollowers (const Member& self);
 
-    /** @param isReached   whether the store answers this node */
+    /** Selects the followers of this node's zone.
+
+        @param isReached   true if the store answers this node
+    */
     Chosen choose (const PeerTable& peers, bool isReached, Time now) const;
 
 private:
     //==============================================================================
     const InstanceName m_self;
     const ZoneName m_zone;
-    const std::uint64_t m_hash; /**< of the zone's name, so that its nodes share one order */
+    const std::uint64_t m_hash; /**< of the zone's name, so that all of its nodes compute the same order */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/relay/store/MemberBook.h"
+#include "plankledge_policy/relay/store/MemberDirectory.h"
 #include "plankledge_policy/relay/store/StoreFollowers.h"
 
 #include <functional>
@@ -12,111 +12,120 @@
 
 //==============================================================================
 /**
-    Keeps this node's view of the store with few calls: it lists the members once, and
-    then either follows the store or hears from those of its zone that do.
+    Keeps this node's view of the store up to date with few store calls: it lists the members
+    once, then either follows the store or receives updates from the followers of its zone.
 
-    A node's own record is written where the store has none of its address; later lives
-    at the same address find it there. Records of nodes of the zone that were not heard for
-    long are withdrawn by its first follower; one that lives after all finds itself
-    withdrawn and is written again.
+    A node writes its own record only if the store has none with its address, so a restart at
+    the same address writes nothing. The first follower of a zone withdraws the records of
+    nodes that have been unreachable for long; a node that is still running then writes its
+    record again.
 
-    @see StoreFollowers, MemberBook
+    The primary follower is the one whose reads of the routes time out soon enough to detect
+    that the store has stopped answering.
+
+    @see StoreFollowers, MemberDirectory
 */
 class StoreSync
 {
 public:
     //==============================================================================
-    /** Without any word of a follower for so long a node follows the store itself: longer than a follower
-       takes to start and answer, short against the time in which a configuration must be in force. */
-    static constexpr Duration patience = Milliseconds (1000);
+    /** A node that has not heard from any follower for this long follows the store itself. Also the default
+        time for which the store may fail to answer before it counts as unreachable. */
+    static constexpr Duration responseTimeout = Milliseconds (1000);
 
-    /** A record of a node that was not heard for so long is withdrawn. Longer than any restart or cut that
-       was seen, since each mistake costs two writes. */
-    static constexpr Duration withdrawnAfter = std::chrono::seconds (30);
+    /** How long a node must have been unreachable before its record is withdrawn. Must exceed the duration of
+        restarts and short partitions, since withdrawing a running node's record costs two writes. */
+    static constexpr Duration withdrawalDelay = std::chrono::seconds (30);
 
     StoreSync (const Member& self, PeerTable& peers);
 
-    /** @param isFirstStart   all nodes start for the first time: the own record is written at once, and the
-       others' are read when they are there */
+    /** Lists the members.
+
+        @param isFirstStart   all nodes start for the first time: the own record is written at once, and the
+                              listing is delayed until the other nodes have written theirs
+    */
     void start (Turn& turn, bool isFirstStart);
 
-    /** Looks whether this node is to follow; called every 200 ms.
+    /** Starts or stops following the store as required; must be called every 200 ms.
 
-        @param areRoutesKnown   whether any routes are in force here
+        @param areRoutesKnown   true if any routes are in force on this node
     */
     void onTick (Turn& turn, bool areRoutesKnown);
 
-    /** How long reads of the routes by the watchful follower may wait where proofs of the newest version are
-        needed; zero: as long as a change of the store's state must be noticed. */
-    void setLongestRead (Duration wait) noexcept { m_longestRead = wait; }
+    /** Sets the longest time for which the primary follower's read of the routes may block, so that proofs of
+        the newest version stay recent. Zero selects the default. */
+    void setLongestRead (Duration wait) noexcept { m_maxReadWait = wait; }
 
-    /** @returns whether this node reads the store for its zone */
-    bool isWatching() const noexcept { return m_isFollowing && m_readsWait > Duration::zero(); }
+    /** @returns true if this node is the primary follower of its zone, or reaches no follower */
+    bool isWatching() const noexcept { return m_isFollowing && m_readWait > Duration::zero(); }
 
-    /** @returns the other node that does; nullptr: none is known */
+    /** @returns the other node that this node takes for the primary follower, or nullptr if there is none */
     const Peer* watcher() const;
 
-    /** This process stood still: silence meanwhile says nothing of the peers. */
+    /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
     void onPause (Time now);
 
-    /** The store was read.
+    /** Applies records read from the store.
 
-        @returns whether there is news for those that hear from this node
+        @returns true if there are changes to send to other nodes
     */
     bool onRead (Turn& turn, const MembersRead& read);
 
-    /** A peer told what it read.
+    /** Applies records received from a peer.
 
-        @returns whether it is news
+        @returns true if they contained changes
     */
     bool onTold (Turn& turn, const MembersTold& told);
 
+    /** Must be called when the store becomes reachable or unreachable. */
     void onReached (const StoreReached& event, Time now);
 
-    /** A peer told what it has: what this node lacks is asked for. */
+    /** Pulls the records that a peer has and this node lacks. */
     void onPeerView (Turn& turn, const Peer& peer);
 
-    /** @returns the followers that are due a hello */
+    /** @returns the followers to which a hello is due */
     std::vector<const Peer*> due (Time now, bool areRoutesKnown) const;
 
-    StoreView view() const noexcept { return { m_book.end(), m_isFollowing, m_isReached }; }
-    MembersTold since (const StorePlace& have) const { return m_book.since (have); }
+    StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isReached }; }
+
+    /** @returns the changes since the given position */
+    MembersTold since (const StorePlace& have) const { return m_directory.since (have); }
 
 private:
     //==============================================================================
-    void setFollowing (Turn& turn, bool isFollowing, bool isWatchful, const char* reason);
-    Duration patienceWithStore() const noexcept;
+    void setFollowing (Turn& turn, bool isFollowing, bool isPrimary, const char* reason);
+    Duration storeTimeout() const noexcept;
     std::vector<const Peer*> chosenPeers() const;
-    void noteFollowers (Time now);
+    void updateLastSeenTimes (Time now);
     void readRoutesOnce (Turn& turn, bool areRoutesKnown);
-    void listWhenDue (Turn& turn);
+    void listMembersWhenDue (Turn& turn);
     void publish (Turn& turn, const char* reason);
-    void keepOwnRecord (Turn& turn, const MembersRead& read);
-    void writeAgainSoon (Turn& turn);
-    void writeAgainWhenDue (Turn& turn);
-    void withdrawDead (Turn& turn);
-    bool isIsolated (Time now) const noexcept { return now - m_followerSeenAt > patience; }
+    void ensureOwnRecord (Turn& turn, const MembersRead& read);
+    void scheduleRewrite (Turn& turn);
+    void rewriteWhenDue (Turn& turn);
+    void withdrawUnheardNodes (Turn& turn);
+    bool isIsolated (Time now) const noexcept { return now - m_followerSeenAt > responseTimeout; }
 
     const Member m_self;
     PeerTable& m_peers;
     StoreFollowers m_followers;
     StoreFollowers::Chosen m_chosen;
-    MemberBook m_book;
+    MemberDirectory m_directory;
     std::map<InstanceName, Time>
-        m_unheardSince;              /**< of this zone's nodes, while this one is its first follower */
-    std::optional<Time> m_lostSince; /**< the store does not answer */
-    Time m_followerSeenAt;           /**< when a follower of the zone was last known to be there */
-    Time m_readerSeenAt;             /**< the same of one that the store answers, this node included */
+        m_unheardSince;                   /**< nodes of this zone, while this node is its first follower */
+    std::optional<Time> m_storeLostSince; /**< nullopt: the store answers */
+    Time m_followerSeenAt;                /**< when a follower of the zone was last reachable */
+    Time m_readerSeenAt; /**< the same for followers that reach the store, including this node */
     Time m_pulledAt;
-    std::optional<Time> m_listAt; /**< when the members are to be listed */
-    Time m_routesAt;              /**< when routes may be asked of the store again */
-    Duration m_routesPause {};    /**< until then, the next time */
+    std::optional<Time> m_listAt; /**< when the members are to be listed; nullopt: not scheduled */
+    Time m_routesAt;              /**< earliest time of the next single read of the routes */
+    Duration m_routesInterval {}; /**< between single reads of the routes */
     bool m_isFollowing = false;
-    Duration m_longestRead {}; /**< of the watchful follower */
-    Duration m_readsWait {};   /**< while following: of this node's reads; zero: any, another is watchful */
+    Duration m_maxReadWait {}; /**< as the primary follower; zero: default */
+    Duration m_readWait {};    /**< of reads of the routes, while following; zero: not primary */
     bool m_isReached = true;
-    StoreEra m_checkedEra = 0;          /**< of the book in which the own record was looked for last */
-    std::optional<Time> m_writeAgainAt; /**< the own record, which the store has lost */
+    StoreEra m_checkedEra = 0;       /**< of the records that were last searched for the own record */
+    std::optional<Time> m_rewriteAt; /**< when to write the own record that the store has lost */
     bool m_isPublished = false;
 };
 
--- a/tests/relay/peers/PeerContacts_test.cpp
+++ b/tests/relay/peers/PeerContacts_test.cpp
@@ -17,7 +17,7 @@
     return { { name, 1 }, "plans", zone, { name, 7000 }, MemberState::serving, 0 };
 }
 
-/** A node of another service that knows nodes of "plans" in two zones. */
+/** The view of a node of service "web" that knows nodes of service "plans" in two zones. */
 struct View
 {
     View (const std::string& name, unsigned inZone, unsigned elsewhere)
@@ -81,16 +81,16 @@
 };
 
 const SizeRow sizeRows[] = {
-    { "few: all", 2, 3, 2, 3 },
-    { "many: most of them in the own zone", 40, 80, 8, 4 },
+    { "few nodes: all are selected", 2, 3, 2, 3 },
+    { "many nodes: most are selected in the own zone", 40, 80, 8, 4 },
     { "none in the own zone", 0, 80, 0, 12 },
-    { "few in the own zone: the rest elsewhere", 3, 80, 3, 9 },
+    { "few in the own zone: the rest in other zones", 3, 80, 3, 9 },
     { "all in the own zone", 40, 0, 8, 0 },
 };
 
 } // namespace
 
-TEST_CASE ("the subset of a service is bounded, and most of it is in the own zone")
+TEST_CASE ("the subset of a service is bounded and prefers the own zone")
 {
     for (const auto& row : sizeRows)
     {
@@ -102,7 +102,7 @@
     }
 }
 
-TEST_CASE ("every node of a service is in the subsets of some others, and a new one at once")
+TEST_CASE ("every node of a service, including a new one, is in several subsets")
 {
     std::map<InstanceName, unsigned> subsets;
 
@@ -121,7 +121,7 @@
     CHECK (subsets["own-new"] >= 10);
 }
 
-TEST_CASE ("a peer that can't be reached gives up its place, and has it again when it is heard")
+TEST_CASE ("an unreachable peer is replaced in the subset until it is reachable again")
 {
     View view ("web-1", 40, 0);
     const auto before = view.subsetAt (start);
@@ -137,7 +137,7 @@
     }
 
     const auto after = view.subsetAt (later);
-    CHECK (after.size() == before.size() + 1); // it is still asked now and then
+    CHECK (after.size() == before.size() + 1); // the unreachable peer is still contacted
     CHECK (after.contains (gone));
 
     view.m_peers.onHeard ({ gone, 1 }, later);
@@ -147,36 +147,35 @@
 namespace
 {
 
-/** What is known of a peer, in milliseconds ago, and whether it is due a hello. */
+/** Times of events at a peer, in milliseconds ago, and whether a hello is due. */
 struct DueRow
 {
     const char* m_name;
     int m_gate;
     int m_heard;
-    int m_asked; /**< 0: everything was answered */
-    unsigned m_underWay;
+    int m_asked; /**< the unanswered hello; 0: none */
+    unsigned m_requestsInFlight;
     bool m_isDue;
-    const char* m_zone = "zone-a"; /**< of the peer; the asker is in zone-a */
-    int m_sent = 60000;            /**< the last request that went there */
+    const char* m_zone = "zone-a"; /**< of the peer; this node is in zone-a */
+    int m_sent = 60000;            /**< the last request sent to the peer */
 };
 
 const DueRow dueRows[] = {
-    { "its gate was heard of lately", 300, 300, 0, 0, false },
-    { "its gate was not heard of for long", 600, 100, 0, 0, true },
-    { "requests are under way, and it says nothing", 300, 300, 0, 1, true },
-    { "requests are under way, and it was just heard", 300, 100, 0, 1, false },
-    { "asked just now", 900, 900, 100, 1, false },
-    { "asked long ago", 2000, 2000, 800, 1, true },
-    { "in another zone, where nothing is sent", 600, 600, 0, 0, false, "zone-b" },
-    { "the same for long", 2100, 2100, 0, 0, true, "zone-b" },
-    { "in another zone, where requests go", 600, 100, 0, 0, true, "zone-b", 900 },
-    { "in another zone, and a request that is under way is not answered", 300, 300, 0, 1, true, "zone-b",
-      300 },
+    { "recent gate status", 300, 300, 0, 0, false },
+    { "outdated gate status", 600, 100, 0, 0, true },
+    { "requests in flight, quiet", 300, 300, 0, 1, true },
+    { "requests in flight, not quiet", 300, 100, 0, 1, false },
+    { "unanswered hello, sent recently", 900, 900, 100, 1, false },
+    { "unanswered hello, due again", 2000, 2000, 800, 1, true },
+    { "another zone, idle, recent gate status", 600, 600, 0, 0, false, "zone-b" },
+    { "another zone, idle, outdated gate status", 2100, 2100, 0, 0, true, "zone-b" },
+    { "another zone, in use, outdated gate status", 600, 100, 0, 0, true, "zone-b", 900 },
+    { "another zone, request in flight, quiet", 300, 300, 0, 1, true, "zone-b", 300 },
 };
 
 } // namespace
 
-TEST_CASE ("a peer is asked where nothing was heard of it lately, and not more often than it takes to start")
+TEST_CASE ("a hello is due to a peer without recent status, limited by the retry interval")
 {
     const auto now = start + std::chrono::seconds (60);
 
@@ -184,12 +183,12 @@
     {
         CAPTURE (row.m_name);
         Peer peer;
-        peer.m_gateAt = now - Milliseconds (row.m_gate);
+        peer.m_gateUpdatedAt = now - Milliseconds (row.m_gate);
         peer.m_heardAt = now - Milliseconds (row.m_heard);
         peer.m_callsAt = now;
         peer.m_member.m_zone = row.m_zone;
         peer.m_sentAt = now - Milliseconds (row.m_sent);
-        peer.m_underWay = row.m_underWay;
+        peer.m_requestsInFlight = row.m_requestsInFlight;
 
         if (row.m_asked > 0)
         {
@@ -201,10 +200,9 @@
     }
 }
 
-// After a start of all a peer answers the first question about calls with none, since it has seen none yet.
-// Entries asked again after two seconds, and until then they refused nothing for the deepest service: 238 of
-// 630 searches failed there.
-TEST_CASE ("a peer is asked for the calls seen there soon after the first time, then less and less often")
+// Guards against calls staying unknown for long after a start, when a peer has seen none at the first request
+// for them.
+TEST_CASE ("calls are requested from a peer at exponentially increasing intervals")
 {
     View view ("asker", 1, 0);
     auto& peer = *view.m_peers.find ("own-0");
@@ -228,7 +226,7 @@
                                                  Milliseconds (2000) });
 }
 
-TEST_CASE ("a service that no request needs any more is dropped")
+TEST_CASE ("a service that is no longer needed is dropped")
 {
     View view ("web-1", 5, 0);
     CHECK (view.m_contacts.due (view.m_peers, start).size() == 5);
--- a/tests/relay/peers/PeerTable_test.cpp
+++ b/tests/relay/peers/PeerTable_test.cpp
@@ -22,7 +22,7 @@
     {
     }
 
-    /** A node that answers and takes work. */
+    /** Adds a reachable node with an open gate. */
     void addServing (const std::string& name, const std::string& ip)
     {
         learn (makeMember (name, ip), Source::store);
@@ -33,14 +33,14 @@
 
 } // namespace
 
-TEST_CASE ("an address that another node takes over ends the old node's entry, in all views of the table")
+TEST_CASE ("a node that takes over an address replaces the previous node in all indexes")
 {
     Table table;
     table.learn (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
     table.learn (makeMember ("new", "10.0.0.3"), PeerTable::Source::store);
     table.learn (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
 
-    // Told again of the new one, now at the old one's address, and then once more without any news.
+    // The new node is learned at the old node's address, then once more unchanged.
     table.learn (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
     table.learn (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
     REQUIRE (table.ofService ("plans").size() == 1);
@@ -48,8 +48,7 @@
     CHECK (table.find ("old") == nullptr);
 }
 
-TEST_CASE (
-    "a node that answers keeps its address, and an old entry of it that is read again ends at the next news")
+TEST_CASE ("a reachable node keeps its address and replaces an outdated entry when learned again")
 {
     Table table;
     table.addServing ("new", "10.0.0.2");
@@ -60,7 +59,7 @@
     CHECK (table.ofService ("plans")[0]->m_member.m_id.m_instance == "new");
 }
 
-TEST_CASE ("a node that changes its service is in the view of the new one only")
+TEST_CASE ("a node that changes its service is indexed under the new one only")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
@@ -70,7 +69,7 @@
     CHECK (table.ofService ("other").size() == 1);
 }
 
-TEST_CASE ("a forgotten node is in no view, one that answers is kept")
+TEST_CASE ("forgetting a node removes it from all indexes unless it is reachable")
 {
     Table table;
     table.learn (makeMember ("gone", "10.0.0.2"), PeerTable::Source::store);
@@ -81,7 +80,7 @@
     CHECK (table.ofService ("plans")[0]->m_member.m_id.m_instance == "here");
 }
 
-TEST_CASE ("a peer is silent when it leaves a hello unanswered, not while nobody asked it")
+TEST_CASE ("a quiet peer becomes unreachable only if a hello is unanswered")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
@@ -94,7 +93,7 @@
     CHECK (table.takingWork ("plans").size() == 1);
 }
 
-TEST_CASE ("after a pause of this process peers have their whole time to answer again")
+TEST_CASE ("a pause of this process restarts the timeout of unanswered hellos")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
@@ -104,7 +103,7 @@
     CHECK (table.takeSilent (start + Milliseconds (5700)).size() == 1);
 }
 
-TEST_CASE ("times of routes are those that the peer told last, and a wait is that of the request's route")
+TEST_CASE ("route durations are the latest received, and the expected wait depends on the route")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
--- a/tests/relay/peers/Silence_test.cpp
+++ b/tests/relay/peers/Silence_test.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a frame that lay in a frozen node's buffer is not given more time than its sender has")
+TEST_CASE ("time spent in the buffers of a suspended node counts towards the deadline")
 {
     RelaySite site;
     site.freeze ("one", seconds (3));
@@ -24,7 +24,7 @@
     CHECK (site.runsOf ("a").empty());
 }
 
-TEST_CASE ("a peer that falls silent is passed over, and taken again when it is heard")
+TEST_CASE ("an unreachable peer receives no requests until it is reachable again")
 {
     RelaySite site;
     site.cut ("entry", "one");
@@ -49,8 +49,8 @@
 namespace
 {
 
-/** @returns the hellos that each node sends in ten seconds, with so many nodes of two services */
-double hellosOfEach (unsigned nodes)
+/** @returns the hellos sent per node in ten seconds, for the given number of nodes of two services */
+double hellosPerNode (unsigned nodes)
 {
     RelayRig rig;
 
@@ -67,20 +67,20 @@
 
 } // namespace
 
-TEST_CASE ("the hellos of a node don't grow with the number of nodes")
+TEST_CASE ("the number of hellos per node does not grow with the number of nodes")
 {
-    const auto few = hellosOfEach (40);
+    const auto few = hellosPerNode (40);
     CHECK (few > 0);
-    CHECK (hellosOfEach (120) < few * 1.5);
+    CHECK (hellosPerNode (120) < few * 1.5);
 }
 
-TEST_CASE ("requests for a service that was not needed before wait for contact with it, and are served")
+TEST_CASE ("a request for a service without contacts waits until a peer is contacted, and completes")
 {
     RelayRig rig;
     rig.add ("entry", "web");
     std::vector<Route> routes;
 
-    // More services than a node keeps contact with from the start.
+    // More services than a node contacts from the start.
     for (unsigned number = 0; number < 30; ++number)
     {
         const auto service = "service-" + std::to_string (number);
@@ -96,7 +96,7 @@
     CHECK (rig.answers().at (ticket).m_result.m_outcome == Outcome::completed);
 }
 
-TEST_CASE ("a peer that does not answer while requests are under way gets no more after a second")
+TEST_CASE ("a peer that is quiet with requests in flight receives no more after a second")
 {
     RelaySite site;
     site.setTargets (never);
@@ -114,7 +114,7 @@
     CHECK (site.runs().size() - before == 10);
 }
 
-TEST_CASE ("a node that stood still does not hold its peers for silent")
+TEST_CASE ("a node resuming from a pause does not consider its peers unreachable")
 {
     RelaySite site;
     site.freeze ("entry", Milliseconds (650));
--- a/tests/relay/store/StoreFollowers_test.cpp
+++ b/tests/relay/store/StoreFollowers_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned zones = 5;
 
-/** A fleet that has started, with a first version of the routes. */
+/** A fleet that has started and has the first version of the routes in force. */
 struct StartedFleet : StoreFleet
 {
     explicit StartedFleet (unsigned nodes)
@@ -23,8 +23,7 @@
         run (seconds (3));
     }
 
-    /** @returns how long the version takes to be in force everywhere; the limit where it does not get there
-     */
+    /** @returns the time until the version is in force on all nodes, or the limit if that takes longer */
     Duration timeUntilInForce (ConfigurationVersion version, Duration limit)
     {
         const auto begin = now();
@@ -36,8 +35,8 @@
     }
 };
 
-/** @returns calls a node in a start, a minute and six versions of the routes */
-double callsOfEach (unsigned nodes)
+/** @returns the store calls per node for a start and six more versions of the routes */
+double storeCallsPerNode (unsigned nodes)
 {
     StartedFleet fleet (nodes);
 
@@ -53,16 +52,16 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a start and six versions cost a few calls a node, and fewer the more nodes there are")
+TEST_CASE ("a start and six versions cost few calls per node, and fewer with more nodes")
 {
-    const auto few = callsOfEach (60);
-    const auto many = callsOfEach (194);
-    MESSAGE ("calls a node: " << few << " with 60, " << many << " with 194");
+    const auto few = storeCallsPerNode (60);
+    const auto many = storeCallsPerNode (194);
+    MESSAGE ("calls per node: " << few << " with 60, " << many << " with 194");
     CHECK (many <= 2.5);
     CHECK (many < few);
 }
 
-TEST_CASE ("once all have started two nodes of each zone follow the store, and every node knows every other")
+TEST_CASE ("after a start, two nodes per zone follow the store, and all nodes know each other")
 {
     StartedFleet fleet (100);
     CHECK (fleet.following().size() == 2 * zones);
@@ -71,14 +70,14 @@
         CHECK (fleet.nodesKnowing (name) == 100);
 }
 
-TEST_CASE ("a version is in force on all nodes within a second")
+TEST_CASE ("a new version is in force on all nodes within a second")
 {
     StartedFleet fleet (194);
     fleet.write (2);
     CHECK (fleet.timeUntilInForce (2, seconds (5)) <= seconds (1));
 }
 
-TEST_CASE ("followers that are killed are replaced, and a version still gets everywhere in time")
+TEST_CASE ("killed followers are replaced, and a new version still reaches all nodes within 3 s")
 {
     StartedFleet fleet (100);
     const auto killed = fleet.following();
@@ -92,7 +91,7 @@
     CHECK (fleet.nodesWith (2) == 100 - killed.size());
 }
 
-TEST_CASE ("followers that the store turns away are replaced")
+TEST_CASE ("followers that the store rejects are replaced")
 {
     StartedFleet fleet (100);
 
@@ -104,23 +103,22 @@
     CHECK (fleet.timeUntilInForce (2, seconds (5)) <= seconds (1));
 }
 
-TEST_CASE ("while the store is down few ask it, and a version gets everywhere soon after its return")
+TEST_CASE ("few nodes call the store during an outage, and a new version is in force within 2 s of its end")
 {
     StartedFleet fleet (100);
     const auto before = fleet.calls();
     fleet.setDown (true);
     fleet.run (seconds (10));
-    // Four a zone, two topics each, every 600 ms.
+    // Four followers per zone read two topics each every 600 ms.
     CHECK (fleet.calls() - before <= 4 * zones * 2 * 10000 / 600);
     fleet.write (2);
     fleet.setDown (false);
     CHECK (fleet.timeUntilInForce (2, seconds (5)) <= seconds (2));
 }
 
-// With reads that wait 28 s and nobody watchful, a version that was written 0.7 s after the store's return
-// was not in force 3 s later.
-TEST_CASE (
-    "a version that is written as the store comes back from a silence is in force everywhere within 3 s")
+// Guards against reads that were sent during an outage and block for long after it, so that no follower sees
+// the new version.
+TEST_CASE ("a version written as the store recovers from an outage is in force on all nodes within 3 s")
 {
     for (const auto silence : { Milliseconds (700), Milliseconds (2100), Milliseconds (8000) })
     {
@@ -138,7 +136,7 @@
     }
 }
 
-TEST_CASE ("a node that joins is known to all within two seconds")
+TEST_CASE ("a joining node is known to all nodes within two seconds")
 {
     StartedFleet fleet (100);
     fleet.join ("newcomer", "zone-1");
@@ -148,7 +146,8 @@
     CHECK (fleet.nodesWith (1) == 101);
 }
 
-TEST_CASE ("a start of all nodes at once costs about one call each, and routes are in force in a second")
+TEST_CASE (
+    "restarting all nodes at once costs at most two calls each, and routes are in force within a second")
 {
     StartedFleet fleet (100);
     fleet.run (seconds (2));
@@ -163,7 +162,7 @@
     CHECK (fleet.calls() - before <= 200);
 }
 
-TEST_CASE ("a record that goes while its node lives is back within two seconds")
+TEST_CASE ("a record removed while its node is running is restored within two seconds")
 {
     StartedFleet fleet (100);
     fleet.drop ("node-17");
@@ -171,7 +170,7 @@
     CHECK (fleet.hasRecordOf ("node-17"));
 }
 
-TEST_CASE ("a node that no follower reaches follows the store itself")
+TEST_CASE ("a node partitioned from all followers follows the store itself")
 {
     StartedFleet fleet (60);
 
@@ -186,7 +185,7 @@
     CHECK (fleet.timeUntilInForce (2, seconds (5)) <= seconds (1));
 }
 
-TEST_CASE ("the record of a node that ended without a word is withdrawn, one of a node that lives stays")
+TEST_CASE ("the record of a crashed node is withdrawn, those of running nodes stay")
 {
     StartedFleet fleet (30);
     fleet.kill ("node-7");
@@ -199,10 +198,9 @@
 }
 
 //==============================================================================
-/*  A store may come back from a copy some seconds old. What nodes wrote since is gone from it, and a node
-   that starts later would never hear of them. */
-TEST_CASE (
-    "records that a store lost with its newest seconds stand there again within two seconds, at few calls")
+/*  Guards against nodes staying unknown to later ones when the store is restored from a backup that lacks
+   their records. */
+TEST_CASE ("records lost by a restored store are written again within two seconds, with few calls")
 {
     for (const unsigned nodes : { 15U, 68U, 194U })
     {
@@ -216,7 +214,7 @@
         for (const auto& name : fleet.names())
             CHECK (fleet.hasRecordOf (name));
 
-        // Each writes once; the followers of the zones read.
+        // Each node writes once; only followers read.
         CHECK (calls <= nodes + 20 * zones);
         MESSAGE (nodes, " nodes: ", calls, " calls");
 
@@ -226,7 +224,7 @@
     }
 }
 
-TEST_CASE ("two copies within a second, and one while some nodes are turned away")
+TEST_CASE ("records are written again after two restores within a second, while the store rejects some nodes")
 {
     StartedFleet fleet (68);
 
@@ -248,7 +246,8 @@
     }
 }
 
-TEST_CASE ("routes in force don't go back with the store, and a version that is written again is no news")
+TEST_CASE (
+    "routes in force are not rolled back by a restored store, and rewriting their version changes nothing")
 {
     StartedFleet fleet (68);
     fleet.write (2);
