--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -22,7 +22,7 @@
     return bound * 6 / 10;
 }
 
-/** Minimum time between two questions; one that has not been answered within it is treated as lost. */
+/** Minimum time between two questions; must exceed the usual time until an answer arrives. */
 constexpr Duration questionInterval = Milliseconds (350);
 
 /** Minimum time between two reads of the store by a node that is not the primary follower. */
@@ -106,7 +106,7 @@
     return ! known.has_value() || *known >= limit;
 }
 
-/** @returns the primary follower of the zone. If there is none, or the proof is more than half the bound old:
+/** @returns the primary follower of the zone. If there is none, or the proof is at least half the bound old:
     a random follower of any zone that reaches the store, or any reachable peer. */
 const Peer* KeyGuard::choosePeerToAsk (Turn& turn, const Peer* primary) const
 {
--- a/modules/plankledge_policy/relay/peers/PeerContacts.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.cpp
@@ -89,15 +89,15 @@
     });
 
     std::vector<Peer*> subset;
-    std::size_t inZone = 0;
-    std::size_t counted = 0;
+    std::size_t reachableInZone = 0;
+    std::size_t reachableCount = 0;
 
     for (const auto& entry : ranked)
     {
-        if (counted >= maxInSubset)
+        if (reachableCount >= maxInSubset)
             break;
 
-        if (! entry.m_isOtherZone && inZone >= maxInZone)
+        if (! entry.m_isOtherZone && reachableInZone >= maxInZone)
             continue;
 
         subset.push_back (entry.m_peer);
@@ -105,8 +105,8 @@
         if (isUnreachable (*entry.m_peer, now))
             continue;
 
-        ++counted;
-        inZone += entry.m_isOtherZone ? 0 : 1;
+        ++reachableCount;
+        reachableInZone += entry.m_isOtherZone ? 0 : 1;
     }
 
     return subset;
--- a/modules/plankledge_policy/relay/peers/PeerTable.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerTable.cpp
@@ -241,7 +241,7 @@
 
         const bool isUnanswered = peer.m_askedAt.has_value() && now - *peer.m_askedAt > silenceLimit;
 
-        if (! isUnanswered && now - peer.m_heardAt <= unheardTimeout)
+        if (! isUnanswered && now - peer.m_heardAt <= inactivityTimeout)
             continue;
 
         peer.m_isHeard = false;
--- a/modules/plankledge_policy/relay/peers/PeerTable.h
+++ b/modules/plankledge_policy/relay/peers/PeerTable.h
@@ -61,7 +61,7 @@
 
     /** A peer from which nothing has been received for this long is unreachable, even if no hello was sent to
         it. Must exceed twice the longest interval of hellos. */
-    static constexpr Duration unheardTimeout = Milliseconds (4500);
+    static constexpr Duration inactivityTimeout = Milliseconds (4500);
 
     explicit PeerTable (const Member& self);
 
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -96,7 +96,7 @@
     setFollowing (turn, isChosen || isAlone, isAlone || m_chosen.m_isFirst, isChosen ? "chosen" : "alone");
     readRoutesOnce (turn, areRoutesKnown);
     rewriteWhenDue (turn);
-    withdrawUnheardNodes (turn);
+    withdrawUnreachableNodes (turn);
 }
 
 Duration StoreSync::storeTimeout() const noexcept
@@ -182,7 +182,7 @@
 {
     m_followerSeenAt = now;
     m_readerSeenAt = now;
-    m_unheardSince.clear();
+    m_unreachableSince.clear();
 }
 
 //==============================================================================
@@ -223,9 +223,9 @@
         return;
 
     // Avoids traffic between zones unless no follower of this zone reaches the store.
-    const bool isNear = peer.m_member.m_zone == m_self.m_zone || ! m_directory.end().isKnown();
+    const bool isPreferredSource = peer.m_member.m_zone == m_self.m_zone || ! m_directory.end().isKnown();
 
-    if (! isNear && turn.now() - m_readerSeenAt <= responseTimeout)
+    if (! isPreferredSource && turn.now() - m_readerSeenAt <= responseTimeout)
         return;
 
     m_pulledAt = turn.now();
@@ -236,11 +236,11 @@
 std::vector<const Peer*> StoreSync::due (Time now, bool areRoutesKnown) const
 {
     std::vector<const Peer*> result;
-    const auto again = areRoutesKnown ? helloRetryInterval : helloRetryIntervalWithoutRoutes;
+    const auto retryInterval = areRoutesKnown ? helloRetryInterval : helloRetryIntervalWithoutRoutes;
 
     for (const auto* peer : chosenPeers())
     {
-        const bool isDue = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt >= again
+        const bool isDue = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt >= retryInterval
                                                        : now - peer->m_gateUpdatedAt >= followerHelloInterval;
 
         if (isDue)
@@ -255,9 +255,9 @@
 void StoreSync::ensureOwnRecord (Turn& turn, const MembersRead& read)
 {
     const auto isSelf = [this] (const InstanceName& instance) { return instance == m_self.m_id.m_instance; };
-    const bool isGone = std::any_of (read.m_withdrawn.begin(), read.m_withdrawn.end(), isSelf) ||
-                        std::any_of (read.m_unreadable.begin(), read.m_unreadable.end(), isSelf);
-    const bool isOther =
+    const bool isRemoved = std::any_of (read.m_withdrawn.begin(), read.m_withdrawn.end(), isSelf) ||
+                           std::any_of (read.m_unreadable.begin(), read.m_unreadable.end(), isSelf);
+    const bool isReplaced =
         std::any_of (read.m_members.begin(), read.m_members.end(), [&] (const Member& member) {
             return isSelf (member.m_id.m_instance) && ! m_directory.matches (m_self);
         });
@@ -271,15 +271,15 @@
     if (isOtherEra && m_isPublished && ! m_directory.matches (m_self))
         return scheduleRewrite (turn);
 
-    if (m_isPublished && ! isGone && ! isOther)
+    if (m_isPublished && ! isRemoved && ! isReplaced)
         return;
 
     m_isPublished = true;
 
-    if (! isGone && m_directory.matches (m_self))
+    if (! isRemoved && m_directory.matches (m_self))
         return;
 
-    publish (turn, isGone ? "gone" : isOther ? "another address" : "none there");
+    publish (turn, isRemoved ? "gone" : isReplaced ? "another address" : "none there");
 }
 
 /** Schedules the write at a random time. Otherwise all nodes whose records were lost would write at once, and
@@ -311,10 +311,10 @@
 }
 
 /** Otherwise nodes that ended without withdrawing their records would stay in the store for ever. */
-void StoreSync::withdrawUnheardNodes (Turn& turn)
+void StoreSync::withdrawUnreachableNodes (Turn& turn)
 {
     if (! m_chosen.m_isFirst || ! m_isFollowing || ! m_isReached)
-        return m_unheardSince.clear();
+        return m_unreachableSince.clear();
 
     for (const auto* peer : m_peers.ofZone (m_self.m_zone))
     {
@@ -322,11 +322,11 @@
 
         if (peer->m_isHeard || instance == m_self.m_id.m_instance)
         {
-            m_unheardSince.erase (instance);
+            m_unreachableSince.erase (instance);
             continue;
         }
 
-        auto& since = m_unheardSince.try_emplace (instance, turn.now()).first->second;
+        auto& since = m_unreachableSince.try_emplace (instance, turn.now()).first->second;
 
         if (turn.now() - since <= withdrawalDelay)
             continue;
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -103,7 +103,7 @@
     void ensureOwnRecord (Turn& turn, const MembersRead& read);
     void scheduleRewrite (Turn& turn);
     void rewriteWhenDue (Turn& turn);
-    void withdrawUnheardNodes (Turn& turn);
+    void withdrawUnreachableNodes (Turn& turn);
     bool isIsolated (Time now) const noexcept { return now - m_followerSeenAt > responseTimeout; }
 
     const Member m_self;
@@ -112,7 +112,7 @@
     StoreFollowers::Chosen m_chosen;
     MemberDirectory m_directory;
     std::map<InstanceName, Time>
-        m_unheardSince;                   /**< nodes of this zone, while this node is its first follower */
+        m_unreachableSince;               /**< nodes of this zone, while this node is its first follower */
     std::optional<Time> m_storeLostSince; /**< nullopt: the store answers */
     Time m_followerSeenAt;                /**< when a follower of the zone was last reachable */
     Time m_readerSeenAt; /**< the same for followers that reach the store, including this node */
--- a/tests/relay/access/KeyGuard_test.cpp
+++ b/tests/relay/access/KeyGuard_test.cpp
@@ -90,8 +90,7 @@
         return latest;
     }
 
-    /** @returns the share of a node's requests with the other key, sent since the given time, that completed
-     */
+    /** @returns the completed share of a node's requests with the other key sent since the given time */
     double servedShare (const InstanceName& name, Time since) const
     {
         double served = 0.0;
@@ -181,8 +180,7 @@
     const auto revokedAt = fleet.now();
     fleet.load (seconds (10));
     CHECK (fleet.latestUse (revokedAt) < bound);
-    CHECK (fleet.latestUse (revokedAt) >
-           seconds (2)); // until the proof expires, partitioned nodes still accept it
+    CHECK (fleet.latestUse (revokedAt) > seconds (2)); // accepted until the proof expires
 
     CHECK (fleet.servedShare (partitioned.front(), revokedAt + bound) == 0.0);
     CHECK (fleet.reducer (partitioned.front()).relay().isReady());
