--- a/modules/plankledge_policy/relay/routes/CallGraph.cpp
+++ b/modules/plankledge_policy/relay/routes/CallGraph.cpp
@@ -6,14 +6,14 @@
 namespace
 {
 
-/** Older observations count half as much each time so many requests were seen. */
-constexpr double requestsToHalve = 200.0;
+/** Counts are halved after this many requests, so that recent observations outweigh old ones. */
+constexpr double requestsPerDecay = 200.0;
 
-/** Fewer requests tell too little about how often they call. */
-constexpr double fewestRequests = 5.0;
+/** Call rates from fewer requests are not reported. */
+constexpr double minRequests = 5.0;
 
-/** Chains are followed no deeper; the deepest that the users plan for has 18 calls. */
-constexpr unsigned deepestChain = 18;
+/** Recursion limit; the deepest supported request chain has 18 calls. */
+constexpr unsigned maxChainDepth = 18;
 
 constexpr double permille = 1000.0;
 
@@ -25,7 +25,7 @@
     auto& caller = m_own[route];
     caller.m_requests += 1.0;
 
-    if (caller.m_requests < requestsToHalve)
+    if (caller.m_requests < requestsPerDecay)
         return;
 
     caller.m_requests /= 2.0;
@@ -47,7 +47,7 @@
 
     for (const auto& [route, caller] : m_own)
     {
-        if (caller.m_requests < fewestRequests)
+        if (caller.m_requests < minRequests)
             continue;
 
         for (const auto& [name, callee] : caller.m_callees)
@@ -99,7 +99,7 @@
     }
 
     m_merged.clear();
-    m_chains.clear();
+    m_totals.clear();
 
     for (const auto& [names, sum] : sums)
         m_merged[names.first].push_back (
@@ -108,9 +108,9 @@
 }
 
 //==============================================================================
-const CallGraph::Chain& CallGraph::chainOf (const RouteName& route)
+const CallGraph::CallTotals& CallGraph::totalsOf (const RouteName& route)
 {
-    const auto [entry, isNew] = m_chains.try_emplace (route);
+    const auto [entry, isNew] = m_totals.try_emplace (route);
 
     if (isNew)
         addCalls (route, 1.0, 0, entry->second);
@@ -118,19 +118,19 @@
     return entry->second;
 }
 
-void CallGraph::addCalls (const RouteName& route, double times, unsigned depth, Chain& chain) const
+void CallGraph::addCalls (const RouteName& route, double multiplier, unsigned depth, CallTotals& totals) const
 {
     const auto found = m_merged.find (route);
 
-    if (found == m_merged.end() || depth >= deepestChain)
+    if (found == m_merged.end() || depth >= maxChainDepth)
         return;
 
     for (const auto& edge : found->second)
     {
-        const auto calls = times * edge.m_callsPermille / permille;
-        chain.m_demand[edge.m_service] += calls;
-        chain.m_calls[{ edge.m_service, edge.m_callee }] += calls;
-        addCalls (edge.m_callee, calls, depth + 1, chain);
+        const auto calls = multiplier * edge.m_callsPermille / permille;
+        totals.m_demand[edge.m_service] += calls;
+        totals.m_calls[{ edge.m_service, edge.m_callee }] += calls;
+        addCalls (edge.m_callee, calls, depth + 1, totals);
     }
 }
 
--- a/modules/plankledge_policy/relay/routes/CallGraph.h
+++ b/modules/plankledge_policy/relay/routes/CallGraph.h
@@ -10,40 +10,40 @@
 
 //==============================================================================
 /**
-    Learns which calls the requests of a route make, at the own target and from what
-    peers saw at theirs, and adds them up over all depths.
+    Estimates which calls a request of each route causes, directly and transitively,
+    from calls observed at this node's target and from peers' reports.
 
-    Calls are matched to the request they belong to where their ids show it; where they
-    don't, nothing is learned and no service below the first one is known.
+    A call is attributed to its parent request by request id. Calls whose id does not
+    identify a parent are ignored.
 */
 class CallGraph
 {
 public:
     //==============================================================================
-    /** How many calls one request of a route leads to, by the service that they reach. */
+    /** Mean number of calls that one request of a route causes, by called service. */
     using Demand = std::map<ServiceName, double>;
 
-    /** The same by service and route. */
+    /** Mean number of calls that one request of a route causes, by called service and route. */
     using Calls = std::map<std::pair<ServiceName, RouteName>, double>;
 
-    /** A request of this route began to run at the own target. */
+    /** Records that this node's target began to run a request of the route. */
     void onRequest (const RouteName& route);
 
-    /** A request that runs at the own target made a call. */
+    /** Records a call made by a request that runs at this node's target. */
     void onCall (const RouteName& caller, const RouteName& callee, const ServiceName& service);
 
-    /** @returns what was seen at the own target, for peers */
+    /** @returns the edges observed at this node's target, to be reported to peers */
     std::vector<CallEdge> ownEdges() const;
 
-    /** Takes in what a peer saw at its target. */
+    /** Replaces the edges reported by a peer. */
     void onPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges);
 
-    /** Forgets a peer that is gone. */
+    /** Removes the edges reported by a peer. */
     void forget (const InstanceName& peer);
 
-    /** @returns the calls of one request of the route, over all depths; its own service is not in it */
-    const Demand& demandOf (const RouteName& route) { return chainOf (route).m_demand; }
-    const Calls& callsOf (const RouteName& route) { return chainOf (route).m_calls; }
+    /** @returns the direct and transitive calls per request of the route, without the request itself */
+    const Demand& demandOf (const RouteName& route) { return totalsOf (route).m_demand; }
+    const Calls& callsOf (const RouteName& route) { return totalsOf (route).m_calls; }
 
 private:
     //==============================================================================
@@ -59,21 +59,21 @@
         std::map<RouteName, Callee> m_callees;
     };
 
-    /** What one request of a route leads to. */
-    struct Chain
+    /** Direct and transitive calls per request of a route. */
+    struct CallTotals
     {
         Demand m_demand;
         Calls m_calls;
     };
 
-    const Chain& chainOf (const RouteName& route);
-    void addCalls (const RouteName& route, double times, unsigned depth, Chain& chain) const;
+    const CallTotals& totalsOf (const RouteName& route);
+    void addCalls (const RouteName& route, double multiplier, unsigned depth, CallTotals& totals) const;
     void mergeEdges();
 
     std::map<RouteName, Caller> m_own;
     std::map<InstanceName, std::vector<CallEdge>> m_peers;
-    std::map<RouteName, std::vector<CallEdge>> m_merged; /**< mean over all that saw the caller */
-    std::map<RouteName, Chain> m_chains;                 /**< worked out since the last change */
+    std::map<RouteName, std::vector<CallEdge>> m_merged; /**< by caller; mean over all reporting nodes */
+    std::map<RouteName, CallTotals> m_totals;            /**< cache, cleared when m_merged changes */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/routes/RouteFollower.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteFollower.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/** A pull that was not answered by then is sent to the next peer that has the version. */
-constexpr Duration pullPatience = Milliseconds (200);
+/** After this time an unanswered pull is sent to the next peer that reports the version. */
+constexpr Duration pullTimeout = Milliseconds (200);
 
 } // namespace
 
@@ -58,11 +58,11 @@
     if (peerVersion <= version())
         return;
 
-    if (m_pulledVersion >= peerVersion && turn.now() - m_pulledAt < pullPatience)
+    if (m_requestedVersion >= peerVersion && turn.now() - m_requestedAt < pullTimeout)
         return;
 
-    m_pulledVersion = peerVersion;
-    m_pulledAt = turn.now();
+    m_requestedVersion = peerVersion;
+    m_requestedAt = turn.now();
     turn.emit (SendToPeer { peer, endpoint, RoutesPull { version() } });
 }
 
--- a/modules/plankledge_policy/relay/routes/RouteFollower.h
+++ b/modules/plankledge_policy/relay/routes/RouteFollower.h
@@ -11,31 +11,31 @@
 
 //==============================================================================
 /**
-    Keeps the newest routes in force.
+    Keeps the newest known version of the routes in force.
 
-    They come from the store or, where that can't be reached, from any peer that has a
-    higher version. Within one life of the node the version never falls.
+    Routes are read from the store and pulled from peers that have a higher version.
+    The version never decreases while the process runs.
 */
 class RouteFollower
 {
 public:
     //==============================================================================
-    /** @param onInForce   called after another version is in force */
+    /** @param onInForce   called after a new version was put in force */
     RouteFollower (RouteTableParser parser, std::function<void()> onInForce);
 
-    /** Takes in the text of a version, whoever had it.
+    /** Parses the text of a version and puts it in force if it is newer.
 
-        @param source   for the log: "store" or a peer's instance
-        @returns the version that it is; nullopt: it can't be read
+        @param source   written to the log: "store" or a peer's instance name
+        @returns the version of the text; nullopt if it is invalid
     */
     std::optional<ConfigurationVersion> onText (Turn& turn, const std::string& text,
                                                 const std::string& source);
 
-    /** A peer said which version it has in force. */
+    /** Pulls the routes from the peer if its version is newer. */
     void onPeerVersion (Turn& turn, const InstanceName& peer, const Endpoint& endpoint,
                         ConfigurationVersion version);
 
-    /** A peer asks for routes that are newer than its own. */
+    /** Replies with the routes if they are newer than the peer's. */
     void onPull (Turn& turn, LinkId link, const InstanceName& peer, const RoutesPull& pull) const;
 
     ConfigurationVersion version() const noexcept { return m_table.version(); }
@@ -48,8 +48,8 @@
     std::function<void()> m_onInForce;
     RouteTable m_table;
     std::string m_text;
-    Time m_pulledAt;
-    ConfigurationVersion m_pulledVersion = 0;
+    Time m_requestedAt;
+    ConfigurationVersion m_requestedVersion = 0;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/routes/RouteTable.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteTable.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/** Priorities of organisations and routes are told apart up to here; less urgent ones count as this. */
-constexpr std::uint32_t mostPriorities = 256;
+/** Priorities of organisations and routes are clamped to [0, maxPriorities). */
+constexpr std::uint32_t maxPriorities = 256;
 
 template <class Value> void sortUnique (std::vector<Value>& values)
 {
@@ -28,7 +28,7 @@
     {
         for (const auto& [prefix, route] : routes)
         {
-            notePriorities (route);
+            addPriorities (route);
 
             for (const auto& part : route.m_services)
                 m_services.push_back (part.m_service);
@@ -39,7 +39,7 @@
     sortUnique (m_services);
 }
 
-void RouteTable::notePriorities (const Route& route)
+void RouteTable::addPriorities (const Route& route)
 {
     if (route.m_isPublic || ! m_organisations.areDeclared())
         return m_priorities.push_back (priorityOf (route, nullptr));
@@ -53,10 +53,10 @@
     if (! m_organisations.areDeclared())
         return route.m_priority;
 
-    const auto own = std::min (route.m_priority, mostPriorities - 1);
-    const auto first =
-        organisation != nullptr ? std::min (organisation->m_priority, mostPriorities - 1) : own;
-    return first * mostPriorities + own;
+    const auto own = std::min (route.m_priority, maxPriorities - 1);
+    const auto primary =
+        organisation != nullptr ? std::min (organisation->m_priority, maxPriorities - 1) : own;
+    return primary * maxPriorities + own;
 }
 
 const Route* RouteTable::find (std::string_view host, std::string_view path) const noexcept
@@ -68,7 +68,7 @@
 
     path = path.substr (0, path.find ('?'));
 
-    // Prefixes end with a slash, so only the path up to each of its slashes can be one.
+    // Prefixes end with a slash, so only parts of the path that end with one can match.
     for (auto slash = path.rfind ('/'); slash != std::string_view::npos; slash = path.rfind ('/', slash - 1))
     {
         const auto found = routes->second.find (path.substr (0, slash + 1));
--- a/modules/plankledge_policy/relay/routes/RouteTable.h
+++ b/modules/plankledge_policy/relay/routes/RouteTable.h
@@ -14,7 +14,7 @@
 namespace plankledge
 {
 
-/** A service that takes part of a route's requests. */
+/** A service and its share of a route's requests. */
 struct WeightedService
 {
     ServiceName m_service;
@@ -24,23 +24,23 @@
 };
 
 //==============================================================================
-/** How requests of one host and path prefix are to be handled, as operators declare it. */
+/** Handling of the requests of one host and path prefix, as configured by operators. */
 struct Route
 {
     RouteName m_name;
     bool m_isRepeatable = true;
-    std::uint32_t m_priority = 0;     /**< 0 is the last to be refused */
-    Duration m_timeout {};            /**< a request is answered by then, whatever the answer */
-    Duration m_latencyObjective {};   /**< an answer by then is worth most */
-    std::uint32_t m_mostAttempts = 1; /**< targets that one request may reach */
+    std::uint32_t m_priority = 0; /**< 0 is the most urgent: refused last */
+    Duration m_timeout {};        /**< every request is answered within this time, if need be with an error */
+    Duration m_latencyObjective {};   /**< desired time to the answer */
+    std::uint32_t m_mostAttempts = 1; /**< number of targets that one request may be sent to */
     std::vector<WeightedService> m_services;
-    bool m_isPublic = true; /**< its requests need no key */
+    bool m_isPublic = true; /**< requests need no API key */
 
     auto operator<=> (const Route&) const = default;
 };
 
 //==============================================================================
-/** One version of all routes. */
+/** All routes of one configuration version. Immutable. */
 class RouteTable
 {
 public:
@@ -54,36 +54,37 @@
 
     ConfigurationVersion version() const noexcept { return m_version; }
 
-    /** @param path   may hold a query, which does not count
+    /** @param path   a query is ignored
 
-        @returns the route with the longest prefix of the path at that host, or nullptr
+        @returns the host's route with the longest prefix that matches the path, or nullptr
     */
     const Route* find (std::string_view host, std::string_view path) const noexcept;
 
-    /** @returns all services that routes lead to, sorted */
+    /** @returns the services of all routes, sorted */
     const std::vector<ServiceName>& services() const noexcept { return m_services; }
 
     const Organisations& organisations() const noexcept { return m_organisations; }
 
-    /** Where organisations are declared, their priority takes the place of the routes', and among the
-       requests of equally urgent organisations the route's own decides: within what an organisation may have,
-       it is best served if its lodgements come before its searches.
+    /** Computes the priority that a request is ranked by.
 
-        @param organisation   that the request is for; nullptr: it needs none
-        @returns the priority that a request is ranked by
+        If organisations are declared, the organisation's priority comes first and the route's
+        priority breaks ties; otherwise it is the route's priority.
+
+        @param organisation   the organisation of the request; nullptr if the route is public
     */
     std::uint32_t priorityOf (const Route& route, const Organisation* organisation) const noexcept;
 
-    /** @returns the priority in use that is refused last; 0 where there are no routes */
+    /** @returns the most urgent priority in use; 0 if there are no routes */
     std::uint32_t mostUrgentPriority() const noexcept
     {
         return m_priorities.empty() ? 0 : m_priorities.front();
     }
 
-    /** @returns a priority's place among those in use, in [0, 1) */
+    /** @returns the lower end of the priority's interval in [0, 1), which the priorities in use share equally
+     */
     double placeOfPriority (std::uint32_t priority) const noexcept;
 
-    /** @returns how much of [0, 1) one priority takes up */
+    /** @returns the width of each priority's interval in [0, 1) */
     double widthOfPriority() const noexcept;
 
     auto operator<=> (const RouteTable&) const = default;
@@ -91,15 +92,15 @@
 private:
     //==============================================================================
     ConfigurationVersion m_version = 0;
-    void notePriorities (const Route& route);
+    void addPriorities (const Route& route);
 
     Hosts m_hosts;
     Organisations m_organisations;
-    std::vector<std::uint32_t> m_priorities; /**< those in use, sorted */
-    std::vector<ServiceName> m_services;     /**< those in use, sorted */
+    std::vector<std::uint32_t> m_priorities; /**< in use, sorted */
+    std::vector<ServiceName> m_services;     /**< in use, sorted */
 };
 
-/** Turns the operators' text into routes, or says why it is not valid. Must be a pure function. */
+/** Parses the text of the routes; an error status says why it is invalid. Must be a pure function. */
 using RouteTableParser = std::function<absl::StatusOr<RouteTable> (const std::string& text)>;
 
 } // namespace plankledge
--- a/tests/relay/routes/CallGraph_test.cpp
+++ b/tests/relay/routes/CallGraph_test.cpp
@@ -5,7 +5,7 @@
 namespace plankledge::test
 {
 
-TEST_CASE ("calls seen at a target become edges with their mean number")
+TEST_CASE ("calls observed at a target are reported as edges with their mean number per request")
 {
     CallGraph graph;
 
@@ -22,7 +22,7 @@
     CHECK (graph.ownEdges() == expected);
 }
 
-TEST_CASE ("too few requests tell nothing, and old ones fade")
+TEST_CASE ("routes with too few requests have no edges, and old observations decay")
 {
     CallGraph graph;
     graph.onRequest ("search");
@@ -36,7 +36,7 @@
     CHECK (graph.ownEdges()[0].m_callsPermille == 0);
 }
 
-TEST_CASE ("demand adds up over all depths and over what all peers saw")
+TEST_CASE ("demand includes transitive calls and averages the edges reported by peers")
 {
     CallGraph graph;
     graph.onPeerEdges ("one", { { "search", "status", "lodgement", 1000 } });
@@ -53,7 +53,7 @@
     CHECK (graph.demandOf ("search").at ("corrections") == doctest::Approx (4.0));
 }
 
-TEST_CASE ("calls in a circle end")
+TEST_CASE ("cyclic calls terminate")
 {
     CallGraph graph;
     graph.onPeerEdges ("one", { { "a", "b", "one", 1000 }, { "b", "a", "two", 1000 } });
--- a/tests/relay/routes/RoutesInForce_test.cpp
+++ b/tests/relay/routes/RoutesInForce_test.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("within one life the routes never go back, whoever tells an older version")
+TEST_CASE ("an older or invalid version never replaces the routes in force")
 {
     RelaySite site;
     site.publish (makeTable (7, { makeRoute ("read", "plans") }));
@@ -25,7 +25,7 @@
     CHECK (site.reducer ("entry").counters().m_invalidConfigurations == 1);
 }
 
-TEST_CASE ("a node that the store turns away has the newest routes from its peers")
+TEST_CASE ("a node that cannot read the store gets the newest routes from its peers")
 {
     RelaySite site;
     site.kill ("one");
@@ -35,7 +35,7 @@
     CHECK (site.reducer ("one").relay().isReady());
 }
 
-TEST_CASE ("shares of a split route are right over short runs")
+TEST_CASE ("requests of a split route are distributed by weight even over short runs")
 {
     RelaySite site;
     site.add ("three", "other");
