--- a/modules/plankledge_policy/admission/Admission.cpp
+++ b/modules/plankledge_policy/admission/Admission.cpp
@@ -10,13 +10,14 @@
 {
 
 constexpr std::uint32_t baselineQueueLength = 100000;
-constexpr Duration shortestTargetWait = Milliseconds (5);
+constexpr Duration minAcceptableWait = Milliseconds (5);
 
-/** A queue of a quarter of the slots keeps all of them busy; critical work may wait longer. */
-constexpr int targetWaitDivisor = 4;
+/** Classes below the most important may wait this fraction of the service time: a queue of a quarter of the
+    slots is enough to keep all of them busy. */
+constexpr int acceptableWaitDivisor = 4;
 
-constexpr double weightOfWindow = 0.3;
-constexpr int averageWeight = 8; // a new service time counts an eighth
+constexpr double utilisationWeight = 0.3;
+constexpr int serviceTimeDivisor = 8; // weight of a new service time: 1/8
 
 } // namespace
 
@@ -36,7 +37,7 @@
 {
     Decision decision;
     const bool mustWait = m_inUse >= m_limit.limit();
-    const auto ahead = m_queue.countAhead (entry.m_rank, entry.m_isDeep);
+    const auto ahead = m_queue.countAhead (entry.m_rank, entry.m_isNested);
 
     if (! m_isBaseline && mustWait && expectedWait (ahead) + m_serviceTime > timeLeft)
     {
@@ -55,7 +56,7 @@
         decision.m_evicted = evicted->m_call;
     }
 
-    // The baseline takes all alike, first come, first served.
+    // The baseline policy ignores rank: first in, first out.
     m_queue.push (m_isBaseline ? AdmissionQueue::Entry { entry.m_call, 0, false } : entry);
     return decision;
 }
@@ -92,13 +93,13 @@
     m_slotTime += *serviceTime;
     m_serviceTime = m_serviceTime == Duration::zero()
                         ? *serviceTime
-                        : m_serviceTime + (*serviceTime - m_serviceTime) / averageWeight;
+                        : m_serviceTime + (*serviceTime - m_serviceTime) / serviceTimeDivisor;
 }
 
 bool Admission::onWindowEnd()
 {
     ShedThreshold::Load load;
-    load.m_utilisation = learnUtilisation();
+    load.m_utilisation = updateUtilisation();
     load.m_capacity = static_cast<double> (m_limit.limit()) *
                       static_cast<double> (ShedThreshold::window.count()) /
                       static_cast<double> (std::max<Duration::rep> (1, m_serviceTime.count()));
@@ -106,7 +107,7 @@
     for (std::size_t index = 0; index < load.m_waits.size(); ++index)
     {
         load.m_waits[index] = averageWait (index);
-        load.m_targetWaits[index] = targetWait (index);
+        load.m_acceptableWaits[index] = acceptableWait (index);
     }
 
     m_waits.fill ({});
@@ -120,7 +121,7 @@
     if (waits.m_count > 0)
         return waits.m_sum / waits.m_count;
 
-    // Nothing of the class got a slot in this window: what waits, waits at least this long.
+    // No call of the class got a slot in this window: estimate the wait from the queue.
     const auto queued = m_queue.countOf (priorityClass);
     return queued > 0 ? expectedWait (queued) : Duration::zero();
 }
@@ -138,19 +139,19 @@
            static_cast<Duration::rep> (std::max (1U, m_limit.limit()));
 }
 
-Duration Admission::targetWait (std::size_t priorityClass) const noexcept
+Duration Admission::acceptableWait (std::size_t priorityClass) const noexcept
 {
-    const auto divisor = priorityClass == 0 ? 1 : targetWaitDivisor;
-    return std::max (shortestTargetWait, m_serviceTime / divisor);
+    const auto divisor = priorityClass == 0 ? 1 : acceptableWaitDivisor;
+    return std::max (minAcceptableWait, m_serviceTime / divisor);
 }
 
-double Admission::learnUtilisation() noexcept
+double Admission::updateUtilisation() noexcept
 {
     const auto slots = static_cast<double> (std::max (1U, m_limit.limit()));
     const auto used = static_cast<double> (m_slotTime.count()) /
                       (slots * static_cast<double> (ShedThreshold::window.count()));
     m_slotTime = {};
-    m_utilisation += (used - m_utilisation) * weightOfWindow;
+    m_utilisation += (used - m_utilisation) * utilisationWeight;
     return m_utilisation;
 }
 
--- a/modules/plankledge_policy/admission/Admission.h
+++ b/modules/plankledge_policy/admission/Admission.h
@@ -11,24 +11,24 @@
 
 //==============================================================================
 /**
-    Decides which calls wait for and get a slot of the own target.
+    Admission control for the slots of this node's target.
 
-    A call is refused at once where its rank is above the threshold, where it
-    could not be answered within its time, or where the queue is full of calls that
-    matter as much. Never holds a call back that has no chance.
+    A call is refused at once if its rank is not below the threshold, if it could not
+    be answered before its deadline, or if the queue is full of calls that are at least
+    as important. Calls that cannot meet their deadline are never queued.
 */
 class Admission
 {
 public:
     //==============================================================================
-    /** What happens to an offered call, and to one that it displaces. */
+    /** Result of offering a call. m_evicted is the queued call that it displaced, if any. */
     struct Decision
     {
         Reason m_refusal = Reason::none;
         std::optional<CallId> m_evicted;
     };
 
-    /** @param isBaseline   no shedding: a long queue, first in, first out */
+    /** @param isBaseline   disables load shedding: a long first-in-first-out queue */
     explicit Admission (bool isBaseline)
         : m_isBaseline (isBaseline)
     {
@@ -36,23 +36,29 @@
 
     void configure (const ServiceDeclaration& declaration);
 
-    /** @returns whether a call of this rank is admitted at all now; counts it as offered */
+    /** Counts an offered call.
+
+        @returns whether the threshold admits calls of this rank
+    */
     bool passesThreshold (Rank rank);
 
     /** Queues a call or refuses it.
 
-        @param timeLeft   until its caller gives up
+        @param timeLeft   time until the call's deadline
     */
     Decision offer (const AdmissionQueue::Entry& entry, Duration timeLeft);
 
-    /** Takes the next call while a slot is free. */
+    /** Removes the next call from the queue and occupies a slot.
+
+        @returns nullopt if no slot is free or no call is queued
+    */
     std::optional<CallId> takeNext();
 
     void onDispatched (Rank rank, Duration waited);
 
-    /** A slot is free again.
+    /** Releases a slot.
 
-        @param serviceTime   how long the target took; nullopt where it gave no answer
+        @param serviceTime   time until the target's answer; nullopt if there was none
     */
     void onSlotFreed (std::optional<Duration> serviceTime);
 
@@ -60,13 +66,13 @@
 
     void remove (CallId call) { m_queue.remove (call); }
 
-    /** Takes a queued call that would be refused if it came now; nullopt where there is none left. */
+    /** Removes a queued call that the current threshold refuses; nullopt if there is none. */
     std::optional<CallId> takeRefused()
     {
         return m_isBaseline ? std::nullopt : m_queue.takeRefused (m_threshold.threshold());
     }
 
-    /** Ends a window of measurement.
+    /** Ends a measurement window.
 
         @returns whether the threshold changed
     */
@@ -79,12 +85,12 @@
     std::size_t queued() const noexcept { return m_queue.size(); }
     Duration serviceTime() const noexcept { return m_serviceTime; }
 
-    /** @returns calls in flight and queued against the limit, in thousandths */
+    /** @returns calls in flight and queued relative to the concurrency limit, in permille */
     std::uint16_t loadPermille() const noexcept;
 
 private:
     //==============================================================================
-    /** Waits for a slot, of the calls that got one. */
+    /** Queueing times of the calls that got a slot. */
     struct Waits
     {
         Duration m_sum {};
@@ -93,8 +99,8 @@
 
     Duration averageWait (std::size_t priorityClass) const noexcept;
     Duration expectedWait (std::size_t ahead) const noexcept;
-    Duration targetWait (std::size_t priorityClass) const noexcept;
-    double learnUtilisation() noexcept;
+    Duration acceptableWait (std::size_t priorityClass) const noexcept;
+    double updateUtilisation() noexcept;
 
     bool m_isBaseline;
     ConcurrencyLimit m_limit;
@@ -102,9 +108,9 @@
     AdmissionQueue m_queue;
     std::uint32_t m_queueLength = 0;
     std::uint32_t m_inUse = 0;
-    Duration m_serviceTime {};                     /**< moving average; 0 until the first answer */
-    std::array<Waits, priorityClassCount> m_waits; /**< of this window, by class */
-    Duration m_slotTime {};                        /**< that ended in this window */
+    Duration m_serviceTime {};                     /**< moving average; 0 before the first answer */
+    std::array<Waits, priorityClassCount> m_waits; /**< in this window, by class */
+    Duration m_slotTime {};                        /**< service time of the calls that ended in this window */
     double m_utilisation = 0.0;                    /**< moving average */
 };
 
--- a/modules/plankledge_policy/admission/AdmissionQueue.cpp
+++ b/modules/plankledge_policy/admission/AdmissionQueue.cpp
@@ -5,32 +5,32 @@
 namespace plankledge
 {
 
-std::size_t AdmissionQueue::lineOf (Rank rank, bool isDeep) noexcept
+std::size_t AdmissionQueue::queueIndexOf (Rank rank, bool isNested) noexcept
 {
-    return std::size_t { rank } / cohortsPerClass * 2 + (isDeep ? 0 : 1);
+    return std::size_t { rank } / cohortsPerClass * 2 + (isNested ? 0 : 1);
 }
 
 void AdmissionQueue::push (const Entry& entry)
 {
-    m_lines[lineOf (entry.m_rank, entry.m_isDeep)].push_back (entry);
+    m_queues[queueIndexOf (entry.m_rank, entry.m_isNested)].push_back (entry);
     ++m_size;
 }
 
-std::optional<AdmissionQueue::Entry> AdmissionQueue::takeFront (std::deque<Entry>& line)
+std::optional<AdmissionQueue::Entry> AdmissionQueue::popFront (std::deque<Entry>& queue)
 {
-    if (line.empty())
+    if (queue.empty())
         return std::nullopt;
 
-    const auto entry = line.front();
-    line.pop_front();
+    const auto entry = queue.front();
+    queue.pop_front();
     --m_size;
     return entry;
 }
 
 std::optional<CallId> AdmissionQueue::pop()
 {
-    for (auto& line : m_lines)
-        if (const auto entry = takeFront (line))
+    for (auto& queue : m_queues)
+        if (const auto entry = popFront (queue))
             return entry->m_call;
 
     return std::nullopt;
@@ -38,10 +38,10 @@
 
 std::optional<AdmissionQueue::Entry> AdmissionQueue::evictFor (Rank rank)
 {
-    const auto first = lineOf (rank, true);
+    const auto first = queueIndexOf (rank, true);
 
-    for (auto index = m_lines.size(); index-- > first;)
-        if (const auto entry = takeFront (m_lines[index]))
+    for (auto index = m_queues.size(); index-- > first;)
+        if (const auto entry = popFront (m_queues[index]))
             return entry;
 
     return std::nullopt;
@@ -49,16 +49,17 @@
 
 std::optional<CallId> AdmissionQueue::takeRefused (Rank threshold)
 {
-    for (auto& line : m_lines)
+    for (auto& queue : m_queues)
     {
-        const auto found = std::find_if (
-            line.begin(), line.end(), [threshold] (const Entry& entry) { return entry.m_rank >= threshold; });
+        const auto found = std::find_if (queue.begin(), queue.end(), [threshold] (const Entry& entry) {
+            return entry.m_rank >= threshold;
+        });
 
-        if (found == line.end())
+        if (found == queue.end())
             continue;
 
         const auto call = found->m_call;
-        line.erase (found);
+        queue.erase (found);
         --m_size;
         return call;
     }
@@ -68,26 +69,26 @@
 
 void AdmissionQueue::remove (CallId call)
 {
-    for (auto& line : m_lines)
+    for (auto& queue : m_queues)
     {
-        const auto found = std::find_if (line.begin(), line.end(),
+        const auto found = std::find_if (queue.begin(), queue.end(),
                                          [call] (const Entry& entry) { return entry.m_call == call; });
 
-        if (found == line.end())
+        if (found == queue.end())
             continue;
 
-        line.erase (found);
+        queue.erase (found);
         --m_size;
         return;
     }
 }
 
-std::size_t AdmissionQueue::countAhead (Rank rank, bool isDeep) const noexcept
+std::size_t AdmissionQueue::countAhead (Rank rank, bool isNested) const noexcept
 {
     std::size_t ahead = 0;
 
-    for (std::size_t index = 0; index <= lineOf (rank, isDeep); ++index)
-        ahead += m_lines[index].size();
+    for (std::size_t index = 0; index <= queueIndexOf (rank, isNested); ++index)
+        ahead += m_queues[index].size();
 
     return ahead;
 }
--- a/modules/plankledge_policy/admission/AdmissionQueue.h
+++ b/modules/plankledge_policy/admission/AdmissionQueue.h
@@ -10,10 +10,10 @@
 
 //==============================================================================
 /**
-    Calls that wait for a slot of the own target.
+    Priority queue of the calls that wait for a slot of this node's target.
 
-    More important classes go first; within a class, calls from deeper in a chain
-    go before new ones; within those, the oldest first.
+    Ordered by class, then nested calls (made while serving another request) before
+    root calls, then first in, first out.
 */
 class AdmissionQueue
 {
@@ -23,49 +23,49 @@
     {
         CallId m_call = 0;
         Rank m_rank = 0;
-        bool m_isDeep = false;
+        bool m_isNested = false;
 
         auto operator<=> (const Entry&) const = default;
     };
 
     void push (const Entry& entry);
 
-    /** Takes the next call to run. */
+    /** Removes the next call to run; nullopt if the queue is empty. */
     std::optional<CallId> pop();
 
-    /** Takes the call to refuse in favour of one of the given rank: the oldest of the least class that is
-        not more important.
+    /** Removes the call to refuse in favour of one of the given rank: the oldest call of the least
+        important class, provided that it is not more important than the rank's class.
 
-        @returns nullopt where all that wait are more important
+        @returns nullopt if all queued calls are more important
     */
     std::optional<Entry> evictFor (Rank rank);
 
-    /** Takes a call that a threshold refuses by now; nullopt where there is none left.
+    /** Removes a call that the threshold refuses; nullopt if there is none.
 
-        @param threshold   calls of this rank and above are refused
+        @param threshold   ranks greater than or equal to this are refused
     */
     std::optional<CallId> takeRefused (Rank threshold);
 
-    /** Removes one call, wherever it waits. */
+    /** Removes a call; does nothing if it is not queued. */
     void remove (CallId call);
 
-    /** @returns how many calls would go before a new one */
-    std::size_t countAhead (Rank rank, bool isDeep) const noexcept;
+    /** @returns the number of queued calls that would run before a new one */
+    std::size_t countAhead (Rank rank, bool isNested) const noexcept;
 
-    /** @returns how many calls of a class wait */
+    /** @returns the number of queued calls of a class */
     std::size_t countOf (std::size_t priorityClass) const noexcept
     {
-        return m_lines[priorityClass * 2].size() + m_lines[priorityClass * 2 + 1].size();
+        return m_queues[priorityClass * 2].size() + m_queues[priorityClass * 2 + 1].size();
     }
 
     std::size_t size() const noexcept { return m_size; }
 
 private:
     //==============================================================================
-    static std::size_t lineOf (Rank rank, bool isDeep) noexcept;
-    std::optional<Entry> takeFront (std::deque<Entry>& line);
+    static std::size_t queueIndexOf (Rank rank, bool isNested) noexcept;
+    std::optional<Entry> popFront (std::deque<Entry>& queue);
 
-    std::array<std::deque<Entry>, priorityClassCount * std::size_t { 2 }> m_lines;
+    std::array<std::deque<Entry>, priorityClassCount * std::size_t { 2 }> m_queues;
     std::size_t m_size = 0;
 };
 
--- a/modules/plankledge_policy/admission/ComeBack.h
+++ b/modules/plankledge_policy/admission/ComeBack.h
@@ -7,15 +7,15 @@
 namespace plankledge
 {
 
-/** When a refused caller may ask again: spread, so that those who return don't form the next surge.
+/** Computes the Retry-After delay of a refusal. It is jittered, so that callers don't retry in step.
 
-    @param attempt   which sending of the caller this answers; 0 or 1 for the first. Under overload, who was
-   refused before waits longer, so that callers outlast the trouble without adding to it
-    @returns zero where asking again can't end differently
+    @param attempt   number of the caller's attempt, from 1; 0 counts as 1. Under overload the delay doubles
+                     with each attempt, up to four times the first
+    @returns zero if a retry could not succeed
 */
 inline Duration comeBackAfter (Turn& turn, Reason reason, std::uint32_t attempt = 1)
 {
-    constexpr std::uint32_t mostDoublings = 2;
+    constexpr std::uint32_t maxDoublings = 2;
 
     if (! canPassLater (reason))
         return Duration::zero();
@@ -33,7 +33,7 @@
         return turn.jittered (Milliseconds (2000));
     default:
         return turn.jittered (Milliseconds (1000) *
-                              (1U << std::min (mostDoublings, std::max (attempt, 1U) - 1)));
+                              (1U << std::min (maxDoublings, std::max (attempt, 1U) - 1)));
     }
 }
 
--- a/modules/plankledge_policy/admission/ConcurrencyLimit.h
+++ b/modules/plankledge_policy/admission/ConcurrencyLimit.h
@@ -8,12 +8,11 @@
 
 //==============================================================================
 /**
-    How many calls run at the own target at the same time.
+    Limits the calls that run concurrently at this node's target.
 
-    Starts at the declared slots. Each time the target itself sheds a call the
-    limit goes down by a tenth; calls that it answers bring it back step by step.
-    The target's slowness alone does not lower it: its slots are what it has, and
-    fewer of them in use would only complete less.
+    Starts at the declared number of slots. Decreases by 10 % each time the target
+    sheds a call, and increases additively with each answer, up to the slots (AIMD).
+    Latency does not lower the limit: using fewer slots would only reduce throughput.
 
     Units: calls.
 */
--- a/modules/plankledge_policy/admission/ShedThreshold.cpp
+++ b/modules/plankledge_policy/admission/ShedThreshold.cpp
@@ -8,23 +8,23 @@
 namespace
 {
 
-constexpr float weightOfNew = 0.3F;
-constexpr float weightOfUnseen = 0.02F; // ranks above the threshold: others refuse them before they come here
-constexpr double lowestHeadroom = 0.6;
-constexpr double highestHeadroom = 8.0;
-constexpr double headroomDown = 0.95;
-constexpr double largestHeadroomUp = 1.15;
+constexpr float observedWeight = 0.3F;
+constexpr float unobservedWeight = 0.02F; // for ranks that callers refuse before they reach this node
+constexpr double minHeadroom = 0.6;
+constexpr double maxHeadroom = 8.0;
+constexpr double headroomDecrease = 0.95;
+constexpr double maxHeadroomIncrease = 1.15;
 constexpr double fullUtilisation = 0.97;
-constexpr unsigned windowsHeldAfterRefusal = 2;
+constexpr unsigned holdWindowsAfterRefusal = 2;
 
-/** @returns the end of the most important classes that don't wait too long, in ranks */
-Rank endOfUnhurtClasses (const ShedThreshold::Load& load) noexcept
+/** @returns the first rank of the most important class whose mean wait is not acceptable; admitAll if none */
+Rank endOfAcceptableClasses (const ShedThreshold::Load& load) noexcept
 {
     Rank end = 0;
 
     for (std::size_t index = 0; index < load.m_waits.size(); ++index)
     {
-        if (load.m_waits[index] > load.m_targetWaits[index])
+        if (load.m_waits[index] > load.m_acceptableWaits[index])
             break;
 
         end = static_cast<Rank> (end + cohortsPerClass);
@@ -46,55 +46,56 @@
 {
     const auto endOfClass = static_cast<Rank> ((rank / cohortsPerClass + 1) * cohortsPerClass);
     m_threshold = std::min (m_threshold, endOfClass);
-    m_holdWindows = windowsHeldAfterRefusal;
+    m_holdWindows = holdWindowsAfterRefusal;
 }
 
 bool ShedThreshold::update (const Load& load) noexcept
 {
     const auto before = m_threshold;
-    const auto unhurt = endOfUnhurtClasses (load);
-    learnOffered();
+    const auto acceptableEnd = endOfAcceptableClasses (load);
+    updateOfferedAverages();
 
-    if (unhurt < admitAll)
-        m_headroom = std::max (lowestHeadroom, std::min (m_headroom, 1.0) * headroomDown);
+    if (acceptableEnd < admitAll)
+        m_headroom = std::max (minHeadroom, std::min (m_headroom, 1.0) * headroomDecrease);
     else if (m_holdWindows == 0 && load.m_utilisation < fullUtilisation)
         m_headroom = std::min (
-            highestHeadroom, m_headroom * std::min (largestHeadroomUp, fullUtilisation / load.m_utilisation));
+            maxHeadroom, m_headroom * std::min (maxHeadroomIncrease, fullUtilisation / load.m_utilisation));
 
-    const auto fitting = place (load.m_capacity * m_headroom);
+    const auto byCapacity = rankForCapacity (load.m_capacity * m_headroom);
 
-    if (unhurt < admitAll)
-        m_threshold = std::max (unhurt, std::min (m_threshold, fitting));
+    if (acceptableEnd < admitAll)
+        m_threshold = std::max (acceptableEnd, std::min (m_threshold, byCapacity));
     else if (m_holdWindows > 0)
         --m_holdWindows;
     else
-        m_threshold = std::max (m_threshold, fitting);
+        m_threshold = std::max (m_threshold, byCapacity);
 
     return m_threshold != before;
 }
 
 //==============================================================================
-void ShedThreshold::learnOffered() noexcept
+void ShedThreshold::updateOfferedAverages() noexcept
 {
     for (Rank rank = 0; rank < admitAll; ++rank)
     {
         const auto offered = static_cast<float> (m_offered[rank]);
-        const bool isUnseen = rank >= m_threshold && offered < m_usual[rank];
-        m_usual[rank] += (offered - m_usual[rank]) * (isUnseen ? weightOfUnseen : weightOfNew);
+        const bool isUnobserved = rank >= m_threshold && offered < m_averageOffered[rank];
+        m_averageOffered[rank] +=
+            (offered - m_averageOffered[rank]) * (isUnobserved ? unobservedWeight : observedWeight);
     }
 
     m_offered.fill (0);
 }
 
-Rank ShedThreshold::place (double calls) const noexcept
+Rank ShedThreshold::rankForCapacity (double calls) const noexcept
 {
     double sum = 0.0;
 
     for (Rank rank = 0; rank < admitAll; ++rank)
     {
-        sum += m_usual[rank];
+        sum += m_averageOffered[rank];
 
-        // Rank 0 stays admitted, so that there is always something to measure by.
+        // Rank 0 is always admitted, so that there is always a call to measure.
         if (sum > calls)
             return std::max<Rank> (1, rank);
     }
--- a/modules/plankledge_policy/admission/ShedThreshold.h
+++ b/modules/plankledge_policy/admission/ShedThreshold.h
@@ -8,44 +8,48 @@
 
 //==============================================================================
 /**
-    Decides which ranks a node admits.
+    Load shedding by rank: calls whose rank is below the threshold are admitted.
 
-    While calls wait too long for a slot, the threshold is put where the ranks below
-    it are offered just as much as the slots can do; a headroom factor corrects what
-    that estimate misses: down while calls still wait, up while slots stand idle. A
-    class whose own calls don't wait is not cut. A rank is a class and a cohort, so
-    lesser classes are always refused before more important ones.
+    While calls wait too long for a slot, the threshold is set so that the load offered
+    below it matches the capacity of the slots. A headroom factor corrects the estimate:
+    it decreases while calls still wait too long and increases while slots are idle.
+    Classes whose calls don't wait too long are not shed. A rank consists of a class and
+    a cohort, so less important classes are always refused first.
 
-    Ranks above the threshold are refused early by others and seldom seen here, so
-    what was offered of them is forgotten slowly.
+    Calls above the threshold are mostly refused by their callers' nodes and rarely
+    reach this one, so the averages of those ranks decay slowly.
 
-    Source of the form: admission by ranked histogram, H. Zhou et al., "Overload
-    Control for Scaling WeChat Microservices", SoCC 2018; placing the threshold by
-    the slots' capacity is ours, see docs/MEASUREMENTS.md.
+    Source: H. Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC
+    2018. Differs in that the threshold is set from the capacity of the slots, see
+    docs/MEASUREMENTS.md.
 */
 class ShedThreshold
 {
 public:
     //==============================================================================
-    /** How long one window lasts. */
+    /** Duration of a measurement window. */
     static constexpr Duration window = Milliseconds (100);
 
-    /** How one window went. */
+    /** Measurements of one window. */
     struct Load
     {
-        std::array<Duration, priorityClassCount> m_waits {};       /**< for a slot, on average, by class */
-        std::array<Duration, priorityClassCount> m_targetWaits {}; /**< a longer wait is overload */
-        double m_capacity = 0.0;    /**< calls that the slots can do in a window */
-        double m_utilisation = 0.0; /**< of the slots, 1 when all were busy */
+        std::array<Duration, priorityClassCount> m_waits {}; /**< mean wait for a slot, by class */
+        std::array<Duration, priorityClassCount>
+            m_acceptableWaits {};   /**< by class; a longer wait is overload */
+        double m_capacity = 0.0;    /**< calls that the slots can complete in a window */
+        double m_utilisation = 0.0; /**< of the slots, moving average; 1 when all are busy */
     };
 
-    /** @returns whether a call of this rank is admitted; counts it */
+    /** Counts an offered call.
+
+        @returns whether calls of this rank are admitted
+    */
     bool admit (Rank rank) noexcept;
 
-    /** A call was refused for want of capacity: no lesser class is admitted before the next windows. */
+    /** Records a refusal for lack of capacity: less important classes are refused for the next windows. */
     void onCapacityRefusal (Rank rank) noexcept;
 
-    /** Ends a window.
+    /** Ends a measurement window.
 
         @returns whether the threshold changed
     */
@@ -55,11 +59,11 @@
 
 private:
     //==============================================================================
-    void learnOffered() noexcept;
-    Rank place (double calls) const noexcept;
+    void updateOfferedAverages() noexcept;
+    Rank rankForCapacity (double calls) const noexcept;
 
     std::array<std::uint32_t, admitAll> m_offered {}; /**< in this window */
-    std::array<float, admitAll> m_usual {};           /**< in a window, moving average */
+    std::array<float, admitAll> m_averageOffered {};  /**< per window, moving average */
     double m_headroom = 1.0;
     Rank m_threshold = admitAll;
     unsigned m_holdWindows = 0;
--- a/modules/plankledge_policy/admission/ThresholdBook.cpp
+++ b/modules/plankledge_policy/admission/ThresholdBook.cpp
@@ -8,31 +8,31 @@
 namespace
 {
 
-constexpr Duration reopenStepTime = Milliseconds (100);
-constexpr Rank reopenStep = 16;
+constexpr Duration relaxationInterval = Milliseconds (100);
+constexpr Rank relaxationStep = 16;
 constexpr Duration holdTime = Milliseconds (200);
-constexpr Duration forgetAfter = std::chrono::seconds (10);
-constexpr std::size_t mostOperations = 1000;
-constexpr std::size_t mostDownstream = 32;
+constexpr Duration maxAge = std::chrono::seconds (10);
+constexpr std::size_t maxOperations = 1000;
+constexpr std::size_t maxDownstream = 32;
 
 } // namespace
 
 //==============================================================================
-Rank ThresholdBook::Heard::reopened (Time now) const noexcept
+Rank ThresholdBook::CachedThreshold::relaxed (Time now) const noexcept
 {
     const auto age = now - m_at;
 
     if (age <= holdTime)
         return m_threshold;
 
-    const auto steps = (age - holdTime) / reopenStepTime;
-    return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * reopenStep));
+    const auto steps = (age - holdTime) / relaxationInterval;
+    return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * relaxationStep));
 }
 
 void ThresholdBook::onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold,
                                 Time now)
 {
-    m_instances[service][instance] = Heard { threshold, now };
+    m_instances[service][instance] = CachedThreshold { threshold, now };
 }
 
 void ThresholdBook::onDownstream (const ServiceName& service, const OperationName& operation,
@@ -41,14 +41,14 @@
     if (downstream.empty())
         return;
 
-    if (m_downstream.size() >= mostOperations && ! m_downstream.contains ({ service, operation }))
+    if (m_downstream.size() >= maxOperations && ! m_downstream.contains ({ service, operation }))
         return;
 
     auto& known = m_downstream[{ service, operation }];
 
     for (const auto& entry : downstream)
-        if (known.size() < mostDownstream || known.contains (entry.m_service))
-            known[entry.m_service] = Heard { std::min (entry.m_threshold, admitAll), now };
+        if (known.size() < maxDownstream || known.contains (entry.m_service))
+            known[entry.m_service] = CachedThreshold { std::min (entry.m_threshold, admitAll), now };
 }
 
 Rank ThresholdBook::ofInstance (const ServiceName& service, const InstanceName& instance, Time now) const
@@ -58,8 +58,8 @@
     if (byService == m_instances.end())
         return admitAll;
 
-    const auto heard = byService->second.find (instance);
-    return heard != byService->second.end() ? heard->second.reopened (now) : admitAll;
+    const auto cached = byService->second.find (instance);
+    return cached != byService->second.end() ? cached->second.relaxed (now) : admitAll;
 }
 
 Rank ThresholdBook::ofService (const ServiceName& service, Time now) const
@@ -72,12 +72,12 @@
     Rank highest = 0;
     bool isKnown = false;
 
-    for (const auto& [instance, heard] : byService->second)
+    for (const auto& [instance, cached] : byService->second)
     {
-        if (now - heard.m_at > forgetAfter)
+        if (now - cached.m_at > maxAge)
             continue;
 
-        highest = std::max (highest, heard.reopened (now));
+        highest = std::max (highest, cached.relaxed (now));
         isKnown = true;
     }
 
@@ -90,8 +90,8 @@
     Rank lowest = admitAll;
 
     if (const auto found = m_downstream.find ({ service, operation }); found != m_downstream.end())
-        for (const auto& [name, heard] : found->second)
-            lowest = std::min (lowest, heard.reopened (now));
+        for (const auto& [name, cached] : found->second)
+            lowest = std::min (lowest, cached.relaxed (now));
 
     return lowest;
 }
@@ -102,8 +102,8 @@
     std::vector<ServiceThreshold> result;
 
     if (const auto found = m_downstream.find ({ service, operation }); found != m_downstream.end())
-        for (const auto& [name, heard] : found->second)
-            result.push_back ({ name, heard.reopened (now) });
+        for (const auto& [name, cached] : found->second)
+            result.push_back ({ name, cached.relaxed (now) });
 
     return result;
 }
--- a/modules/plankledge_policy/admission/ThresholdBook.h
+++ b/modules/plankledge_policy/admission/ThresholdBook.h
@@ -9,44 +9,44 @@
 
 //==============================================================================
 /**
-    Thresholds that others gave on their answers, and which services an operation
-    was seen to call.
+    Caches the shed thresholds that other nodes report on their answers, per instance
+    and for the downstream services of each operation.
 
-    What was heard reopens with its age, step by step: where everything is refused
-    early no answer comes any more, and the next calls must find out.
+    A cached threshold rises with its age: while all calls are refused locally no answer
+    can update it, so some calls must be let through to probe the service.
 */
 class ThresholdBook
 {
 public:
     //==============================================================================
-    /** A node of the service answered with its own threshold. */
+    /** Stores the threshold that an instance of the service reported. */
     void onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold, Time now);
 
-    /** An answer of an operation said what the services below it admit. */
+    /** Stores the thresholds of downstream services that an answer of the operation reported. */
     void onDownstream (const ServiceName& service, const OperationName& operation,
                        const std::vector<ServiceThreshold>& downstream, Time now);
 
-    /** @returns the instance's threshold, reopened by age; admitAll where none is known */
+    /** @returns the instance's threshold, relaxed by its age; admitAll if none is known */
     Rank ofInstance (const ServiceName& service, const InstanceName& instance, Time now) const;
 
-    /** @returns the highest threshold among the service's instances heard lately */
+    /** @returns the highest recent threshold of the service's instances; admitAll if none is known */
     Rank ofService (const ServiceName& service, Time now) const;
 
-    /** @returns the lowest threshold among the services that the operation calls, itself not included */
+    /** @returns the lowest threshold of the operation's downstream services; admitAll if none is known */
     Rank belowOperation (const ServiceName& service, const OperationName& operation, Time now) const;
 
-    /** @returns the services the operation calls, with their thresholds */
+    /** @returns the operation's known downstream services with their thresholds */
     std::vector<ServiceThreshold> downstreamOf (const ServiceName& service, const OperationName& operation,
                                                 Time now) const;
 
 private:
     //==============================================================================
-    struct Heard
+    struct CachedThreshold
     {
         Rank m_threshold = admitAll;
         Time m_at;
 
-        Rank reopened (Time now) const noexcept;
+        Rank relaxed (Time now) const noexcept;
     };
 
     struct OperationKey
@@ -57,8 +57,8 @@
         auto operator<=> (const OperationKey&) const = default;
     };
 
-    std::map<ServiceName, std::map<InstanceName, Heard>> m_instances;
-    std::map<OperationKey, std::map<ServiceName, Heard>> m_downstream;
+    std::map<ServiceName, std::map<InstanceName, CachedThreshold>> m_instances;
+    std::map<OperationKey, std::map<ServiceName, CachedThreshold>> m_downstream;
 };
 
 } // namespace plankledge
