--- a/modules/plankledge_policy/routing/Router.cpp
+++ b/modules/plankledge_policy/routing/Router.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr std::uint32_t failuresToEject = 5;
-constexpr Duration firstEjection = Milliseconds (500);
-constexpr std::uint32_t mostDoublings = 4;
-constexpr std::uint16_t loadedPermille = 900;
+constexpr std::uint32_t consecutiveFailuresToEject = 5;
+constexpr Duration baseEjectionTime = Milliseconds (500);
+constexpr std::uint32_t maxDoublings = 4;
+constexpr std::uint16_t spillPermille = 900;
 
 } // namespace
 
@@ -27,7 +27,7 @@
 
     if (usable.empty() || usable.size() * 2 < candidates.size())
     {
-        // Failures of most of a service say more about the load than about its instances.
+        // Failures of most instances indicate overload of the service: ignore the ejections.
         usable = candidates;
     }
 
@@ -41,16 +41,16 @@
     for (const auto& member : usable)
     {
         const auto state = m_states.find (member.m_id.m_instance);
-        const bool isLoaded = state != m_states.end() && state->second.m_loadPermille >= loadedPermille;
+        const bool isOverloaded = state != m_states.end() && state->second.m_loadPermille >= spillPermille;
 
-        if (member.m_zone == m_self.m_zone && ! isLoaded)
+        if (member.m_zone == m_self.m_zone && ! isOverloaded)
             nearby.push_back (member);
     }
 
     const auto& choices = nearby.empty() ? usable : nearby;
     const auto& first = choices[random.below (choices.size())];
     const auto& second = choices[random.below (choices.size())];
-    return scoreOf (second.m_id.m_instance) < scoreOf (first.m_id.m_instance) ? second : first;
+    return loadScore (second.m_id.m_instance) < loadScore (first.m_id.m_instance) ? second : first;
 }
 
 bool Router::isUsable (const NodeId& id, Time now) const
@@ -60,10 +60,9 @@
     if (found == m_states.end())
         return true;
 
-    // What an earlier life failed says nothing of the next: without this, two candidates of a key that both
-    // came back were left out for up to 8 s, and keyed work was refused all that time.
+    // An ejection applies to one incarnation only: a restarted instance gets calls at once.
     const auto& state = found->second;
-    return state.m_unusableUntil <= now || id.m_incarnation > state.m_ejectedLife;
+    return state.m_ejectedUntil <= now || id.m_incarnation > state.m_ejectedIncarnation;
 }
 
 //==============================================================================
@@ -86,7 +85,7 @@
     state.m_loadPermille = loadPermille;
     state.m_failures = 0;
     state.m_ejections = 0;
-    state.m_unusableUntil = Time();
+    state.m_ejectedUntil = Time();
 }
 
 void Router::onUnreachable (const NodeId& id, Time now)
@@ -98,21 +97,21 @@
 {
     auto& state = m_states[id.m_instance];
 
-    if (++state.m_failures >= failuresToEject)
+    if (++state.m_failures >= consecutiveFailuresToEject)
         eject (state, id.m_incarnation, now);
 }
 
-void Router::eject (State& state, Incarnation life, Time now)
+void Router::eject (State& state, Incarnation incarnation, Time now)
 {
-    if (life < state.m_ejectedLife)
+    if (incarnation < state.m_ejectedIncarnation)
         return;
 
-    if (life > state.m_ejectedLife)
+    if (incarnation > state.m_ejectedIncarnation)
         state.m_ejections = 0;
 
-    state.m_ejectedLife = life;
-    const auto doublings = std::min (state.m_ejections, mostDoublings);
-    state.m_unusableUntil = now + firstEjection * (1U << doublings);
+    state.m_ejectedIncarnation = incarnation;
+    const auto doublings = std::min (state.m_ejections, maxDoublings);
+    state.m_ejectedUntil = now + baseEjectionTime * (1U << doublings);
     state.m_failures = 0;
     ++state.m_ejections;
 }
@@ -138,14 +137,14 @@
     return candidates;
 }
 
-std::uint64_t Router::scoreOf (const InstanceName& instance) const
+std::uint64_t Router::loadScore (const InstanceName& instance) const
 {
     const auto found = m_states.find (instance);
 
     if (found == m_states.end())
         return 0;
 
-    // One call in flight from here weighs as much as a hundredth of the instance's capacity.
+    // A call in flight from this node counts as 1 % of the instance's capacity.
     constexpr std::uint64_t permillePerCall = 10;
     return found->second.m_inFlight * permillePerCall + found->second.m_loadPermille;
 }
--- a/modules/plankledge_policy/routing/Router.h
+++ b/modules/plankledge_policy/routing/Router.h
@@ -12,52 +12,52 @@
 
 //==============================================================================
 /**
-    Chooses the instance that gets a call, among those that could take it.
+    Load balancer: chooses the instance that gets a call.
 
-    Own availability zone first, with spill when it is loaded; of two random
-    choices the one with less in flight and queued. An instance that can't be
-    reached or keeps failing is left out for a while, but never more than half of
-    a service for failures alone. That concerns the life that failed: once a newer one
-    is known it gets calls at once.
+    Prefers this node's availability zone and spills to others when its instances are
+    overloaded; takes the less loaded of two random choices. Instances that are
+    unreachable or fail repeatedly are ejected for a time that doubles with each
+    ejection. Ejections are ignored while they affect more than half of the candidates.
+    An ejection applies to one incarnation: a restarted instance gets calls at once.
 */
 class Router
 {
 public:
     //==============================================================================
-    /** @param self   this node: its zone comes first, its name fixes its subset of a large service */
+    /** @param self   this node: its zone is preferred, its name determines its subset of a large service */
     explicit Router (const Member& self)
         : m_self (self)
     {
     }
 
-    /** Chooses by load.
+    /** Chooses an instance by zone and load.
 
         @param candidates   instances that may take the call
-        @returns nullopt where none is left
+        @returns nullopt if there are no candidates
     */
     std::optional<Member> pick (const std::vector<Member>& candidates, Random& random, Time now) const;
 
-    /** @returns whether calls are sent to this life of the instance at all now */
+    /** @returns whether this incarnation of the instance is not ejected */
     bool isUsable (const NodeId& id, Time now) const;
 
     void onSent (const InstanceName& instance);
 
-    /** A call ended, however. */
+    /** A call ended, with or without an answer. */
     void onEnded (const InstanceName& instance);
 
-    /** The instance answered; its load counts from now on. */
+    /** The instance answered and reported its load. Ends an ejection. */
     void onAnswered (const InstanceName& instance, std::uint16_t loadPermille);
 
-    /** The instance, in the life that is known of it, could not be connected to, or its connection broke. */
+    /** The connection to this incarnation failed or broke: ejects it at once. */
     void onUnreachable (const NodeId& id, Time now);
 
-    /** A call to this life got no answer in time, or its target can't be connected to. */
+    /** A call to this incarnation timed out, or its target was unreachable. */
     void onFailed (const NodeId& id, Time now);
 
-    /** Forgets an instance that is gone. */
+    /** Removes an instance. */
     void forget (const InstanceName& instance) { m_states.erase (instance); }
 
-    /** A node calls at most so many instances of a service, unless all of them are loaded. */
+    /** Maximum number of instances of a service that one node calls. */
     static constexpr std::size_t subsetSize = 10;
 
 private:
@@ -66,15 +66,15 @@
     {
         std::uint32_t m_inFlight = 0;
         std::uint16_t m_loadPermille = 0;
-        std::uint32_t m_failures = 0;  /**< in a row */
-        std::uint32_t m_ejections = 0; /**< in a row */
-        Incarnation m_ejectedLife = 0; /**< the newest that was ejected; a newer one gets calls at once */
-        Time m_unusableUntil;
+        std::uint32_t m_failures = 0;         /**< consecutive */
+        std::uint32_t m_ejections = 0;        /**< consecutive */
+        Incarnation m_ejectedIncarnation = 0; /**< the newest one that was ejected */
+        Time m_ejectedUntil;
     };
 
     std::vector<Member> subsetOf (std::vector<Member> candidates) const;
-    std::uint64_t scoreOf (const InstanceName& instance) const;
-    static void eject (State& state, Incarnation life, Time now);
+    std::uint64_t loadScore (const InstanceName& instance) const;
+    static void eject (State& state, Incarnation incarnation, Time now);
 
     Member m_self;
     std::map<InstanceName, State> m_states;
--- a/tests/routing/Router_test.cpp
+++ b/tests/routing/Router_test.cpp
@@ -1,4 +1,4 @@
-/*  Which instances calls are kept from after a failure, and when they get calls again. In virtual time. */
+/*  Ejection of failing instances and their return. In virtual time. */
 
 #include "plankledge_policy/routing/Router.h"
 
@@ -29,7 +29,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("an instance that could not be reached gets calls as soon as a new life of it is known")
+TEST_CASE ("an ejected instance gets calls as soon as a new incarnation is known")
 {
     Router router (memberOf ("self", 1));
 
@@ -39,13 +39,13 @@
     CHECK_FALSE (router.isUsable (memberOf ("other", 1).m_id, start + std::chrono::seconds (7)));
     CHECK (router.isUsable (memberOf ("other", 2).m_id, start));
 
-    // The wait of the new life starts anew, not with the doublings of the earlier one.
+    // The ejection time of the new incarnation starts from the base, not from the doubled value.
     router.onUnreachable (memberOf ("other", 2).m_id, start);
     CHECK_FALSE (router.isUsable (memberOf ("other", 2).m_id, start + Milliseconds (499)));
     CHECK (router.isUsable (memberOf ("other", 2).m_id, start + Milliseconds (500)));
 }
 
-TEST_CASE ("late news of an earlier life changes nothing for the new one")
+TEST_CASE ("a late failure of an earlier incarnation does not eject the new one for longer")
 {
     Router router (memberOf ("self", 1));
     router.onUnreachable (memberOf ("other", 2).m_id, start);
@@ -54,7 +54,7 @@
     CHECK (router.isUsable (memberOf ("other", 2).m_id, start + Milliseconds (500)));
 }
 
-TEST_CASE ("keyed work reaches its candidates soon after both came back, though calls to them had failed")
+TEST_CASE ("keyed requests reach their candidates soon after both have restarted, despite earlier ejections")
 {
     Rig rig (1);
     rig.declare (declarations);
@@ -66,7 +66,7 @@
     rig.kill ("l1");
     rig.kill ("l2");
 
-    // Each call that meets nobody doubles the time for which its instance gets no other.
+    // Each failed call doubles the ejection time of its instance.
     for (int number = 0; number < 20; ++number)
     {
         rig.request ("l3", makeOnce (fmt::format ("away-{}", number), 1, Duration::zero()));
