--- a/modules/plankledge_policy/relay/LogText.h
+++ b/modules/plankledge_policy/relay/LogText.h
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 #include <string>
 
-/** How values stand in the log's lines about relayed requests. */
+/** Formats values for log fields. */
 namespace plankledge::detail
 {
 
@@ -20,7 +20,7 @@
     return fmt::format ("{}", value);
 }
 
-/** A digest, as it stands in all lines about it. */
+/** Formats a digest as 16 hexadecimal digits. */
 inline std::string digest (std::uint64_t value)
 {
     return fmt::format ("{:016x}", value);
--- a/modules/plankledge_policy/relay/RelayDecisions.cpp
+++ b/modules/plankledge_policy/relay/RelayDecisions.cpp
@@ -8,35 +8,34 @@
 namespace
 {
 
-/** Held requests look for a target again, and silent peers are noticed, after this. */
+/** Period of retrying held requests and detecting silent peers. */
 constexpr Duration windowPeriod = Milliseconds (100);
 
-/** Peers that are due a hello are looked for after this. */
-constexpr Duration contactPeriod = Milliseconds (200);
+/** Period of checking which peers are due a hello. */
+constexpr Duration helloCheckPeriod = Milliseconds (200);
 
-/** A window that ends so much late means that this process got no processor time. */
-constexpr Duration latenessOfPause = Milliseconds (150);
+/** A window that ends later than this means that the process was not scheduled. */
+constexpr Duration maxWindowDelay = Milliseconds (150);
 
-/** With so few services contact is kept with all of them from the start, so that the first requests need not
-    wait for it. */
-constexpr std::size_t fewServices = 16;
+/** Up to this number of services, their peers are contacted before the first request. */
+constexpr std::size_t maxEagerServices = 16;
 
-/** Peers that are told at once of another version of the routes; they tell as many, so that all nodes know
-    in a few rounds. The store tells most of them anyway. */
-constexpr std::size_t toldOfVersion = 4;
+/** Number of peers that are notified of a new version of the routes (gossip fan-out); most nodes also read
+    it from the store. */
+constexpr std::size_t versionFanout = 4;
 
-/** A stopping node looks whether it has finished after this. */
-constexpr Duration stopPeriod = Milliseconds (100);
+/** Period of checking whether a stopping node is idle. */
+constexpr Duration stopCheckPeriod = Milliseconds (100);
 
-/** A stopping node's gate stays open so long: the node must go on for its callers anyway, and its target is
-    well. What is begun by then has time to end before the node does. */
-constexpr Duration gateOpenAfterStop = Milliseconds (1400);
+/** A stopping node's gate stays open this long, since the node has to serve its callers in any case. Requests
+    that have begun by then have time to finish. */
+constexpr Duration gateCloseDelay = Milliseconds (1400);
 
-/** A stopping node goes on at least so long: the platform asks once a second whether it is ready, and sends
-    its callers elsewhere after two misses. */
-constexpr Duration leastStop = Milliseconds (2400);
+/** Minimum time until a stopping node exits: the platform probes readiness once a second and redirects
+   callers after two failed probes. */
+constexpr Duration minStopDuration = Milliseconds (2400);
 
-/** A stopping node ends so long before it would be killed. */
+/** A stopping node exits this long before it would be killed. */
 constexpr Duration stopMargin = Milliseconds (500);
 
 } // namespace
@@ -59,10 +58,10 @@
               { [this] (Turn& inner, const RelayAnswer& answer) {
                    m_entry.onAnswer (inner, m_peers.self(), answer);
                },
-                [this] (Turn&) { onGateMoved(); }, [this] { return m_routes.version(); }, m_crashes })
+                [this] (Turn&) { onGateChanged(); }, [this] { return m_routes.version(); }, m_crashes })
     , m_entry (settings, turn.settings().m_self,
                { m_routes, m_peers, m_calls, m_gate, m_keys, m_limits, m_crashes,
-                 [this] (const ServiceName& service) { need (service); } })
+                 [this] (const ServiceName& service) { requireService (service); } })
 {
 }
 
@@ -72,8 +71,8 @@
     m_store.start (m_turn, m_settings.m_isFirstStart);
     m_turn.timers().set (now + windowPeriod, TimerKind::relayWindow);
     m_turn.timers().set (now + AdmissionLevel::period, TimerKind::admissionPeriod);
-    m_turn.timers().set (now + m_turn.jittered (contactPeriod / 2), TimerKind::peerHello);
-    m_windowAt = now;
+    m_turn.timers().set (now + m_turn.jittered (helloCheckPeriod / 2), TimerKind::peerHello);
+    m_windowStartedAt = now;
 }
 
 void RelayDecisions::onPause()
@@ -102,28 +101,28 @@
         m_gate.onPeriodEnd (m_turn);
         return m_turn.timers().set (m_turn.now() + AdmissionLevel::period, TimerKind::admissionPeriod);
     case TimerKind::peerHello:
-        onContactTime();
-        return m_turn.timers().set (m_turn.now() + contactPeriod, TimerKind::peerHello);
+        onHelloTimer();
+        return m_turn.timers().set (m_turn.now() + helloCheckPeriod, TimerKind::peerHello);
     case TimerKind::relayStop:
-        return onStopTime();
+        return onStopTimer();
     default:
-        return; // of another part
+        return; // handled elsewhere
     }
 }
 
-void RelayDecisions::onContactTime()
+void RelayDecisions::onHelloTimer()
 {
     m_store.onTick (m_turn, m_routes.isKnown());
     m_keys.onTick (m_turn, m_store.watcher(), m_store.isWatching());
     m_limits.onTick (m_turn);
-    greetDue();
+    sendDueHellos();
 }
 
 void RelayDecisions::onWindowEnd()
 {
     const auto now = m_turn.now();
 
-    if (now - std::exchange (m_windowAt, now) > windowPeriod + latenessOfPause)
+    if (now - std::exchange (m_windowStartedAt, now) > windowPeriod + maxWindowDelay)
         m_peers.onPause (now);
 
     m_gate.onWindowEnd (m_turn);
@@ -139,10 +138,10 @@
         m_limits.onPeerDown (m_turn, instance);
     }
 
-    // A silent peer with requests is found within a second: 200 ms quiet, 600 ms unanswered, two windows.
+    // Detects a silent peer with requests in flight within 1 s: 200 ms idle, 600 ms unanswered, two windows.
     for (const auto* peer : m_peers.others())
         if (PeerContacts::isQuietWithRequests (*peer, now))
-            greet (*peer, false);
+            sendHello (*peer, false);
 
     m_limits.onWindowEnd (m_turn);
     m_crashes.onWindowEnd (m_turn, m_gate.target().id());
@@ -151,13 +150,13 @@
 }
 
 //==============================================================================
-void RelayDecisions::need (const ServiceName& service)
+void RelayDecisions::requireService (const ServiceName& service)
 {
     if (m_contacts.need (service, m_turn.now()))
-        greetDue();
+        sendDueHellos();
 }
 
-void RelayDecisions::greet (const Peer& peer, bool asksForCalls)
+void RelayDecisions::sendHello (const Peer& peer, bool asksForCalls)
 {
     const auto& member = peer.m_member;
     m_peers.onAsked (member.m_id.m_instance, m_turn.now());
@@ -167,24 +166,24 @@
                                           m_crashes.digest() } });
 }
 
-void RelayDecisions::greetDue()
+void RelayDecisions::sendDueHellos()
 {
     const auto now = m_turn.now();
 
     for (const auto* peer : m_contacts.due (m_peers, now))
-        greet (*peer, PeerContacts::areCallsDue (*peer, now));
+        sendHello (*peer, PeerContacts::areCallsDue (*peer, now));
 
     for (const auto* peer : m_store.due (now, m_routes.isKnown()))
-        greet (*peer, false);
+        sendHello (*peer, false);
 
     for (const auto* peer : m_limits.due (now))
-        greet (*peer, false);
+        sendHello (*peer, false);
 }
 
 void RelayDecisions::handle (const RoutesConfirmed& event)
 {
-    // What can't be read may have taken keys away. A store that came back from an older copy says nothing
-    // about what was written since the copy, until that stands there again.
+    // An invalid version may have revoked keys, and a store that was restored from a backup lacks the
+    // versions written since. Neither confirms the routes in force.
     if (m_versionInStore.has_value() && *m_versionInStore >= m_routes.version())
         m_keys.onConfirmed (Time (event.m_askedAt));
 }
@@ -205,18 +204,18 @@
     m_store.setLongestRead (m_keys.longestRead());
     const auto& services = m_routes.table().services();
 
-    if (services.size() <= fewServices)
+    if (services.size() <= maxEagerServices)
         for (const auto& service : services)
-            need (service);
+            requireService (service);
 
-    auto heard = m_peers.others();
-    std::erase_if (heard, [] (const Peer* peer) { return ! peer->m_isHeard; });
+    auto reachable = m_peers.others();
+    std::erase_if (reachable, [] (const Peer* peer) { return ! peer->m_isHeard; });
 
-    for (std::size_t told = 0; told < toldOfVersion && ! heard.empty(); ++told)
+    for (std::size_t sent = 0; sent < versionFanout && ! reachable.empty(); ++sent)
     {
-        const auto index = m_turn.random().below (heard.size());
-        greet (*heard[index], false);
-        heard.erase (heard.begin() + static_cast<std::ptrdiff_t> (index));
+        const auto index = m_turn.random().below (reachable.size());
+        sendHello (*reachable[index], false);
+        reachable.erase (reachable.begin() + static_cast<std::ptrdiff_t> (index));
     }
 }
 
@@ -226,8 +225,8 @@
              std::nullopt,       m_store.view(),  m_crashes.digest() };
 }
 
-/** Peers must learn at once that a gate shut, and soon that one opened. */
-void RelayDecisions::onGateMoved()
+/** Pushes the gate's status to peers, so that they stop sending at once when it closes. */
+void RelayDecisions::onGateChanged()
 {
     m_peers.onGate (m_peers.self(), m_gate.status(), m_turn.now());
 
@@ -260,14 +259,14 @@
 
 void RelayDecisions::handle (const MembersRead& event)
 {
-    learn (event.m_members, event.m_withdrawn, "store");
+    addMembers (event.m_members, event.m_withdrawn, "store");
 
     if (m_store.onRead (m_turn, event))
-        tellNews();
+        sendStatusToZone();
 }
 
-void RelayDecisions::learn (const std::vector<Member>& members, const std::vector<InstanceName>& withdrawn,
-                            const std::string& source)
+void RelayDecisions::addMembers (const std::vector<Member>& members,
+                                 const std::vector<InstanceName>& withdrawn, const std::string& source)
 {
     for (const auto& instance : withdrawn)
     {
@@ -289,11 +288,11 @@
     }
 
     m_store.onTick (m_turn, m_routes.isKnown());
-    greetDue();
+    sendDueHellos();
 }
 
-/** Nodes of the own zone hear at once that there is more of the store; they ask for what they lack. */
-void RelayDecisions::tellNews()
+/** Notifies the nodes of this zone of new records in the store; they pull what they lack. */
+void RelayDecisions::sendStatusToZone()
 {
     for (const auto* peer : m_peers.ofZone (m_turn.settings().m_self.m_zone))
         if (peer->m_inboundLink != 0)
@@ -326,10 +325,10 @@
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const RelayAnswer& message)
 {
     m_entry.onAnswer (m_turn, from.m_instance, message);
-    noteVersion (from.m_instance, message.m_version);
+    onVersionReported (from.m_instance, message.m_version);
 }
 
-void RelayDecisions::noteVersion (const InstanceName& peer, ConfigurationVersion version)
+void RelayDecisions::onVersionReported (const InstanceName& peer, ConfigurationVersion version)
 {
     if (const auto* known = m_peers.find (peer))
         m_routes.onPeerVersion (m_turn, peer, known->m_member.m_endpoint, version);
@@ -362,14 +361,14 @@
 
     m_turn.emit (ReplyOnLink { link, from.m_instance, std::move (answer) });
 
-    // The peer may know an earlier life of this node: it is told of this one over a connection of its own.
+    // The peer may know an earlier incarnation of this node, so it is sent a hello as well.
     if (m_peers.onInboundLink (from.m_instance, link))
-        greet (*m_peers.find (from.m_instance), false);
+        sendHello (*m_peers.find (from.m_instance), false);
 
     onGate (from.m_instance, message.m_gate);
-    noteVersion (from.m_instance, message.m_version);
-    noteStoreView (from.m_instance, message.m_store);
-    noteCrashes (from.m_instance, message.m_crashes);
+    onVersionReported (from.m_instance, message.m_version);
+    onStoreViewReported (from.m_instance, message.m_store);
+    onCrashDigestReported (from.m_instance, message.m_crashes);
 }
 
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const PeerStatus& message)
@@ -382,18 +381,18 @@
 
     m_peers.onRouteTimes (from.m_instance, message.m_times);
     onGate (from.m_instance, message.m_gate);
-    noteVersion (from.m_instance, message.m_version);
-    noteStoreView (from.m_instance, message.m_store);
-    noteCrashes (from.m_instance, message.m_crashes);
+    onVersionReported (from.m_instance, message.m_version);
+    onStoreViewReported (from.m_instance, message.m_store);
+    onCrashDigestReported (from.m_instance, message.m_crashes);
 }
 
-void RelayDecisions::noteCrashes (const InstanceName& peer, std::uint64_t digest)
+void RelayDecisions::onCrashDigestReported (const InstanceName& peer, std::uint64_t digest)
 {
     if (const auto* known = m_peers.find (peer))
         m_crashes.onDigest (m_turn, *known, digest);
 }
 
-void RelayDecisions::noteStoreView (const InstanceName& peer, const StoreView& view)
+void RelayDecisions::onStoreViewReported (const InstanceName& peer, const StoreView& view)
 {
     m_peers.onStoreView (peer, view);
 
@@ -425,7 +424,7 @@
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersTold& message)
 {
     if (m_store.onTold (m_turn, message))
-        learn (message.m_members, message.m_withdrawn, from.m_instance);
+        addMembers (message.m_members, message.m_withdrawn, from.m_instance);
 }
 
 //==============================================================================
@@ -468,19 +467,19 @@
     m_stoppedAt = m_turn.now();
     m_turn.emit (WriteLog { Notice::drainStarted, {}, 0 });
     m_entry.stop (m_turn.now());
-    m_turn.timers().set (m_turn.now() + stopPeriod, TimerKind::relayStop);
+    m_turn.timers().set (m_turn.now() + stopCheckPeriod, TimerKind::relayStop);
 }
 
-void RelayDecisions::onStopTime()
+void RelayDecisions::onStopTimer()
 {
     const auto since = m_turn.now() - *m_stoppedAt;
 
-    if (since >= gateOpenAfterStop)
+    if (since >= gateCloseDelay)
         m_gate.stop (m_turn);
 
     const bool isDone = m_gate.isIdle() && m_entry.isIdle();
 
-    if ((isDone && since >= leastStop) || since >= m_settings.m_stopGrace - stopMargin)
+    if ((isDone && since >= minStopDuration) || since >= m_settings.m_stopGrace - stopMargin)
     {
         if (m_gate.target().isLeaving())
             m_turn.emit (WithdrawMember { m_peers.self() });
@@ -492,7 +491,7 @@
         return;
     }
 
-    m_turn.timers().set (m_turn.now() + stopPeriod, TimerKind::relayStop);
+    m_turn.timers().set (m_turn.now() + stopCheckPeriod, TimerKind::relayStop);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/RelayDecisions.h
+++ b/modules/plankledge_policy/relay/RelayDecisions.h
@@ -10,12 +10,11 @@
 
 //==============================================================================
 /**
-    The decisions about relayed requests: their senders give each attempt an id of its own,
-    so that a request runs at most once if no second sending is made while the first may
-    have run. No record, lease or agreement is needed.
+    Decisions about relayed requests. Senders give each attempt its own id, so a request
+    runs at most once as long as it is not sent again while an earlier attempt may have
+    run. No records, leases or consensus are needed.
 
-    Each concern is a part of its own; this class only leads events to them and ties them
-    together.
+    This class only dispatches events to its components and connects them.
 
     @see Reducer, KeyedRequests
 */
@@ -33,10 +32,10 @@
     void onTimer (const TimerQueue::Timer& timer);
 
     //==============================================================================
-    /** @returns whether callers may be sent to this node */
+    /** @returns whether this node accepts requests from callers */
     bool isReady() const noexcept { return m_routes.isKnown() && ! m_stoppedAt.has_value(); }
 
-    /** @returns whether the instance is known, and in another zone than this node */
+    /** @returns whether the instance is known and in another zone than this node */
     bool isInOtherZone (const InstanceName& instance) const noexcept
     {
         const auto* peer = m_peers.find (instance);
@@ -69,7 +68,7 @@
     void handle (const StoreReached& event) { m_store.onReached (event, m_turn.now()); }
     void handle (const StopRequested& event);
 
-    /** Something was heard from a peer, whatever it was. */
+    /** A message of any kind was received from a peer. */
     void onHeardFrom (const NodeId& from);
 
     void onMessage (LinkId link, const NodeId& from, const RelayRequest& message);
@@ -90,21 +89,21 @@
 
 private:
     //==============================================================================
-    void onContactTime();
+    void onHelloTimer();
     void onWindowEnd();
-    void onStopTime();
-    void need (const ServiceName& service);
-    void greet (const Peer& peer, bool asksForCalls);
-    void learn (const std::vector<Member>& members, const std::vector<InstanceName>& withdrawn,
-                const std::string& source);
-    void tellNews();
-    void noteStoreView (const InstanceName& peer, const StoreView& view);
-    void noteCrashes (const InstanceName& peer, std::uint64_t digest);
-    void greetDue();
+    void onStopTimer();
+    void requireService (const ServiceName& service);
+    void sendHello (const Peer& peer, bool asksForCalls);
+    void addMembers (const std::vector<Member>& members, const std::vector<InstanceName>& withdrawn,
+                     const std::string& source);
+    void sendStatusToZone();
+    void onStoreViewReported (const InstanceName& peer, const StoreView& view);
+    void onCrashDigestReported (const InstanceName& peer, std::uint64_t digest);
+    void sendDueHellos();
     void onRoutesInForce();
-    void onGateMoved();
+    void onGateChanged();
     void onGate (const InstanceName& peer, const GateStatus& gate);
-    void noteVersion (const InstanceName& peer, ConfigurationVersion version);
+    void onVersionReported (const InstanceName& peer, ConfigurationVersion version);
     void onPeerDown (const InstanceName& instance);
     PeerStatus status() const;
 
@@ -120,10 +119,11 @@
     CrashGuard m_crashes;
     TargetGate m_gate;
     RelayEntry m_entry;
-    Time m_windowAt;
+    Time m_windowStartedAt;
     std::optional<Time> m_stoppedAt;
-    std::optional<ConfigurationVersion> m_versionInStore; /**< the newest that was read there; nullopt: none
-                                                             in this era of it, or one that can't be read */
+    std::optional<ConfigurationVersion>
+        m_versionInStore; /**< the newest version read from the store; nullopt: none
+                             in its current era, or an invalid one */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/RelaySettings.h
+++ b/modules/plankledge_policy/relay/RelaySettings.h
@@ -7,29 +7,30 @@
 namespace plankledge
 {
 
-/** How the nodes keep to an organisation's limit together. */
+/** How nodes share the enforcement of an organisation's rate limit. */
 enum class LimitSharing : std::uint8_t
 {
-    fixedShares, /**< each node admits an equal part by itself */
-    homes        /**< a few nodes count for all, each some of the organisations */
+    fixedShares, /**< each node enforces an equal share on its own */
+    homes        /**< each organisation's requests are counted centrally, on a few nodes */
 };
 
 //==============================================================================
-/** What decisions about relayed requests depend on besides events; the operators' figures. */
+/** Settings of the relay, configured by operators. */
 struct RelaySettings
 {
-    double m_retryRatio = 0.2;       /**< retries for each request of a service */
-    std::uint32_t m_retrySlack = 50; /**< retries beyond the ratio, of all nodes in a window */
-    Duration m_retryWindow = std::chrono::seconds (10);  /**< in which retries are counted */
-    Duration m_stopGrace = std::chrono::seconds (6);     /**< from the request to stop until the kill */
-    Duration m_announcementPeriod = Milliseconds (1500); /**< between a target's announcements */
+    double m_retryRatio = 0.2;       /**< maximum ratio of retries to requests of a service */
+    std::uint32_t m_retrySlack = 50; /**< retries allowed beyond the ratio, over all nodes in a window */
+    Duration m_retryWindow = std::chrono::seconds (10); /**< in which retries are counted */
+    Duration m_stopGrace = std::chrono::seconds (6); /**< from the stop request until the process is killed */
+    Duration m_announcementPeriod = Milliseconds (1500); /**< between announcements of a target */
     Duration
-        m_revocationBound {}; /**< a key that was taken away is used nowhere later than this; 0: no bound */
-    Duration m_limitWindow = std::chrono::seconds (5); /**< in which organisations' requests are counted */
-    double m_limitOverage = 0.1;     /**< part of a limit that may be exceeded in a window */
-    std::uint32_t m_limitSlack = 20; /**< requests beyond that, of all nodes in a window */
+        m_revocationBound {}; /**< maximum time until a revoked API key is refused everywhere; 0: unbounded */
+    Duration m_limitWindow =
+        std::chrono::seconds (5);    /**< in which the requests of an organisation are counted */
+    double m_limitOverage = 0.1;     /**< fraction by which a limit may be exceeded in a window */
+    std::uint32_t m_limitSlack = 20; /**< requests allowed beyond the overage, over all nodes in a window */
     LimitSharing m_limitSharing = LimitSharing::homes;
-    bool m_isFirstStart = false; /**< all nodes start for the first time: none is in the store yet */
+    bool m_isFirstStart = false; /**< first start of the whole cluster: the store holds no members yet */
 
     auto operator<=> (const RelaySettings&) const = default;
 
--- a/tests/relay/RelayDecisions_test.cpp
+++ b/tests/relay/RelayDecisions_test.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a request is run by one target of its route's service, and its answer comes back")
+TEST_CASE ("a request runs at one target of its route's service and its answer is returned")
 {
     RelaySite site;
     const auto ticket = site.send ("entry", "a", "/read/x");
@@ -24,7 +24,8 @@
     CHECK (site.runsOf ("a")[0].m_dispatch.m_callerService == "web");
 }
 
-TEST_CASE ("no route: 404; no configuration yet: not run, to come back")
+TEST_CASE (
+    "without a matching route the reason is noRoute; without a configuration the caller is told to retry")
 {
     RelaySite site;
     const auto unknown = site.send ("entry", "a", "/nothing/x");
@@ -40,7 +41,7 @@
     CHECK_FALSE (bare.reducer ("alone").relay().isReady());
 }
 
-TEST_CASE ("a request is answered at its route's time-out, and its run is cancelled")
+TEST_CASE ("a request is answered at its route's timeout and cancelled at the target")
 {
     RelaySite site;
     auto route = makeRoute ("read", "plans");
@@ -54,7 +55,7 @@
     CHECK (site.runsOf ("a")[0].m_isAbandoned);
 }
 
-TEST_CASE ("a sender that leaves has its run cancelled within half a second, wherever it is")
+TEST_CASE ("a request is cancelled within 500 ms of its sender disconnecting, whether it runs or is queued")
 {
     RelaySite site;
     site.setTargets (never);
@@ -65,7 +66,7 @@
     REQUIRE (site.runsOf ("a").size() == 1);
     CHECK (site.runsOf ("a")[0].m_isAbandoned);
 
-    // Queued in the gate: it must not run any more.
+    // Queued in the gate: must not run.
     RelayRig full;
     full.add ("entry", "web");
     full.add ("one", "plans", "zone-a", 1);
