--- a/modules/plankledge_policy/Counters.h
+++ b/modules/plankledge_policy/Counters.h
@@ -8,10 +8,10 @@
 {
 
 //==============================================================================
-/** Counts what a node did, one counter for each refusal and retry reason. Only ever grows. */
+/** Monotonic event counters of a node. */
 struct Counters
 {
-    /** An array that is indexed by an enumeration. */
+    /** An array indexed by an enumeration. */
     template <class Enumeration, Enumeration count> struct By
     {
         std::array<std::uint64_t, static_cast<std::size_t> (count)> m_values {};
@@ -23,23 +23,23 @@
         }
     };
 
-    By<Reason, Reason::reasonCount> m_refusals;      /**< by this node to a caller node, per reason */
-    By<Reason, Reason::reasonCount> m_systemAnswers; /**< to a caller or the own target, per reason */
+    By<Reason, Reason::reasonCount> m_refusals;      /**< to calling nodes, by reason */
+    By<Reason, Reason::reasonCount> m_systemAnswers; /**< to callers and the target, by reason */
     By<RetryReason, RetryReason::retryReasonCount> m_retries;
     By<RetryDenied, RetryDenied::retryDeniedCount> m_retriesDenied;
     std::array<std::uint64_t, 3> m_outcomes {}; /**< by Outcome */
-    std::uint64_t m_dispatches = 0;             /**< calls sent to the own target */
-    std::uint64_t m_lostCalls = 0;              /**< not run, of chains that the own target had worked for */
-    std::uint64_t m_redirects = 0;              /**< sent to another instance since one could not take it */
-    std::uint64_t m_crashReports = 0;           /**< findings that the own target ended under requests */
-    std::uint64_t m_crashesWithdrawn = 0;       /**< of these, where it was seen to live after all */
-    std::uint64_t m_acquittals = 0;             /**< suspects that the own target ran to their end */
-    std::uint64_t m_storeRestores = 0;          /**< the store came back from an older copy of itself */
-    std::uint64_t m_lateAnswers = 0;            /**< of calls already given up on */
-    std::uint64_t m_attached = 0;               /**< resendings that joined the running request */
-    std::uint64_t m_replayed = 0;               /**< resendings answered from the record */
+    std::uint64_t m_dispatches = 0;             /**< calls sent to this node's target */
+    std::uint64_t m_lostCalls = 0;              /**< calls not run, of chains that the target had worked on */
+    std::uint64_t m_redirects = 0;              /**< calls sent on as an instance could not take them */
+    std::uint64_t m_crashReports = 0;           /**< reports that the target crashed while running requests */
+    std::uint64_t m_crashesWithdrawn = 0;       /**< reports withdrawn, as the target was alive */
+    std::uint64_t m_acquittals = 0;             /**< suspected requests that the target completed */
+    std::uint64_t m_storeRestores = 0;          /**< restores of the store from an older copy */
+    std::uint64_t m_lateAnswers = 0;            /**< answers to calls that had already ended */
+    std::uint64_t m_attached = 0;               /**< duplicates attached to the running request */
+    std::uint64_t m_replayed = 0;               /**< duplicates answered from the record */
     std::uint64_t m_inquiries = 0;
-    std::uint64_t m_wakes = 0; /**< pauses of the process noticed */
+    std::uint64_t m_wakes = 0; /**< detected pauses of the process */
     std::uint64_t m_invalidConfigurations = 0;
 };
 
--- a/modules/plankledge_policy/Effects.h
+++ b/modules/plankledge_policy/Effects.h
@@ -4,7 +4,7 @@
 #include <variant>
 #include <vector>
 
-/** All that a node can be told to do by its reducer. Immutable values. */
+/** Effects: the actions that the reducer requests from the runtime. Immutable values. */
 namespace plankledge
 {
 
@@ -20,7 +20,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_ticket, m_result); }
 };
 
-/** Sends over this node's own connection to the peer, which is opened where there is none. */
+/** Sends a message to a peer over this node's connection to it, opening one if needed. */
 struct SendToPeer
 {
     InstanceName m_instance;
@@ -35,7 +35,7 @@
     }
 };
 
-/** Answers over the connection that the peer opened; dropped if that is gone. */
+/** Replies over the connection that the peer opened; dropped if it is closed. */
 struct ReplyOnLink
 {
     LinkId m_link = 0;
@@ -57,13 +57,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_endpoint, m_rumour); }
 };
 
-/** Sends a call to the own target. */
+/** Sends a call to this node's target. */
 struct DispatchToTarget
 {
     CallId m_call = 0;
     RequestContent m_content;
     Idempotency m_idempotency;
-    std::string m_requestId; /**< what the target copies to the calls it makes */
+    std::string m_requestId; /**< copied by the target to its nested calls */
     Time m_deadline;
 
     auto operator<=> (const DispatchToTarget&) const = default;
@@ -74,7 +74,7 @@
     }
 };
 
-/** Closes the connection of a call that nobody waits for; the target cancels it. */
+/** Cancels a call that is no longer needed by closing its connection to the target. */
 struct AbandonTarget
 {
     CallId m_call = 0;
@@ -127,7 +127,7 @@
 };
 
 //==============================================================================
-/** What is worth a line in the log. */
+/** Events written to the log by WriteLog. */
 enum class Notice : std::uint8_t
 {
     configurationInForce,
@@ -147,7 +147,7 @@
 struct WriteLog
 {
     Notice m_notice = Notice::established;
-    std::string m_subject; /**< an instance's name, or empty */
+    std::string m_subject; /**< an instance name, or empty */
     std::int64_t m_value = 0;
 
     auto operator<=> (const WriteLog&) const = default;
@@ -155,7 +155,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_notice, m_subject, m_value); }
 };
 
-/** The process ends now. */
+/** Ends the process. */
 struct Exit
 {
     auto operator<=> (const Exit&) const = default;
@@ -169,23 +169,23 @@
 {
     Ticket m_ticket = 0;
     RelayResult m_result;
-    bool m_closes = false; /**< the sender is to take another connection for its next request */
+    bool m_closes = false; /**< closes the connection after the answer */
 
     auto operator<=> (const AnswerRelay&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_ticket, m_result, m_closes); }
 };
 
-/** Sends a relayed request to the own target. */
+/** Sends a relayed request to this node's target. */
 struct RelayToTarget
 {
     CallId m_call = 0;
     RelayContent m_content;
     ServiceName m_callerService;
-    TargetId m_target; /**< no other life of the target may run it */
+    TargetId m_target; /**< only this incarnation of the target may run it */
     Endpoint m_endpoint;
     Duration m_timeLeft {};
-    OrganisationName m_organisation {}; /**< that the request is for; empty: it needs no key */
+    OrganisationName m_organisation {}; /**< of the request; empty: public route */
 
     auto operator<=> (const RelayToTarget&) const = default;
 
@@ -195,7 +195,7 @@
     }
 };
 
-/** The own target started anew: idle connections to it are of no use any more. */
+/** Closes idle connections to this node's target, which has restarted. */
 struct DropTargetConnections
 {
     auto operator<=> (const DropTargetConnections&) const = default;
@@ -211,20 +211,19 @@
 
 enum class TopicReading : std::uint8_t
 {
-    once,   /**< listed whole, and no more */
-    follow, /**< read on as records come, until told otherwise */
-    rest
+    once,   /**< list all records, then stop */
+    follow, /**< keep reading new records */
+    rest    /**< stop reading */
 };
 
-/** How a topic of the store is to be read from now on. */
+/** Changes how a topic of the store is read. */
 struct ReadTopic
 {
     StoreTopic m_topic = StoreTopic::members;
     TopicReading m_reading = TopicReading::rest;
-    StorePlace m_from; /**< to follow: all records before this one are known; not known: it is listed first */
-    Duration
-        m_longestWait {}; /**< to follow: a read without news ends after this, so that a store which falls
-                             silent is noticed, and its return; 0: as long as the store lets it wait */
+    StorePlace m_from; /**< follow: position to read from; without an offset the topic is listed first */
+    Duration m_longestWait {}; /**< follow: timeout of a read without new records, so that an outage of the
+                                  store is detected; 0: the store's own maximum */
 
     auto operator<=> (const ReadTopic&) const = default;
 
@@ -234,7 +233,7 @@
     }
 };
 
-/** The store is to hold this of the own node. */
+/** Writes this node's member record to the store. */
 struct PublishMember
 {
     Member m_member;
@@ -244,7 +243,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_member); }
 };
 
-/** The store is to hold nothing any more of a node. */
+/** Deletes a node's member record from the store. */
 struct WithdrawMember
 {
     InstanceName m_instance;
@@ -254,7 +253,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_instance); }
 };
 
-/** A decision on a relayed request, or a change of what the node believes. */
+/** Decisions on relayed requests and state changes that are logged by LogDecision. */
 enum class Decision : std::uint8_t
 {
     requestSent,
@@ -285,7 +284,7 @@
     decisionCount
 };
 
-/** One input of a decision, by name. */
+/** A named input of a decision. */
 struct DecisionInput
 {
     std::string m_name;
@@ -296,11 +295,11 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_name, m_value); }
 };
 
-/** Writes a decision to the log with what decided it. */
+/** Writes a decision and its inputs to the log. */
 struct LogDecision
 {
     Decision m_decision = Decision::requestSent;
-    std::string m_request; /**< the request's id; empty where it is about no request */
+    std::string m_request; /**< request id; empty if the decision concerns no request */
     std::vector<DecisionInput> m_inputs;
 
     auto operator<=> (const LogDecision&) const = default;
--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -6,15 +6,15 @@
 #include <variant>
 #include <vector>
 
-/** All that can happen to a node. Immutable values; the driver stamps the time. */
+/** Events: the inputs of the reducer. Immutable values; the runtime sets the time. */
 namespace plankledge
 {
 
-/** Names a request that waits for its answer at this node's own caller or outbound address. */
+/** Identifies a request that is pending at this node's caller or outbound address. */
 using Ticket = std::uint64_t;
 
 //==============================================================================
-/** Time passed; sent when the reducer asked to be woken, and at least every 100 ms. */
+/** Sent when the next timer is due, and at least every 100 ms. */
 struct TimePassed
 {
     auto operator<=> (const TimePassed&) const = default;
@@ -22,12 +22,12 @@
     template <class Archive> void serialize (Archive&) {}
 };
 
-/** A request came in, from an outside caller or from the own target. */
+/** A request was received from an external caller or from this node's target. */
 struct RequestReceived
 {
     Ticket m_ticket = 0;
-    bool m_isOutbound = false; /**< from the own target */
-    std::string m_parent;      /**< the Plankledge-Request-Id of the call that the target serves */
+    bool m_isOutbound = false; /**< from this node's target */
+    std::string m_parent;      /**< the Plankledge-Request-Id of the call that the target is serving */
     RequestContent m_content;
     Idempotency m_idempotency;
     std::optional<Duration> m_timeout;
@@ -40,7 +40,7 @@
     }
 };
 
-/** Whoever sent the request closed the connection. */
+/** The sender of the request closed the connection. */
 struct RequesterGone
 {
     Ticket m_ticket = 0;
@@ -51,10 +51,10 @@
 };
 
 //==============================================================================
-/** A frame came in. */
+/** A message from a peer was received. */
 struct PeerMessageReceived
 {
-    LinkId m_link = 0; /**< the connection that the peer opened, or 0 for this node's own */
+    LinkId m_link = 0; /**< connection opened by the peer; 0: opened by this node */
     NodeId m_from;
     PeerMessage m_message;
 
@@ -63,7 +63,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_link, m_from, m_message); }
 };
 
-/** The peer could not be connected to: none of these calls left this node. */
+/** Connecting to the peer failed: none of these calls was sent. */
 struct PeerUnreachable
 {
     InstanceName m_instance;
@@ -74,7 +74,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_instance, m_calls); }
 };
 
-/** The connection that this node had opened broke; what was sent over it may have arrived. */
+/** The connection that this node opened to the peer broke; messages sent over it may have arrived. */
 struct PeerLost
 {
     InstanceName m_instance;
@@ -84,7 +84,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_instance); }
 };
 
-/** A connection that a peer had opened is closed. */
+/** A connection opened by a peer was closed. */
 struct LinkClosed
 {
     LinkId m_link = 0;
@@ -104,7 +104,7 @@
 };
 
 //==============================================================================
-/** The target answered a dispatched call whole. */
+/** The target answered a dispatched call completely. */
 struct TargetAnswered
 {
     CallId m_call = 0;
@@ -126,7 +126,7 @@
     broken             /**< the request may have arrived */
 };
 
-/** The target gave no whole answer. */
+/** The target did not answer a dispatched call completely. */
 struct TargetFailed
 {
     CallId m_call = 0;
@@ -144,7 +144,7 @@
     unreachable
 };
 
-/** What the target says of itself, on an answer or to a probe. */
+/** The target reported its state, on an answer or a probe. */
 struct TargetObserved
 {
     TargetState m_state = TargetState::serving;
@@ -155,7 +155,7 @@
 };
 
 //==============================================================================
-/** One line of the platform's list of instances. */
+/** An entry of the platform's list of instances. */
 struct ListedInstance
 {
     InstanceName m_instance;
@@ -172,7 +172,7 @@
     }
 };
 
-/** The platform's list was read whole. */
+/** The platform's list of instances was read completely. */
 struct ListReceived
 {
     std::vector<ListedInstance> m_instances;
@@ -193,9 +193,9 @@
 {
     LogOffset m_offset = -1;
     ConfigurationRecordKind m_kind = ConfigurationRecordKind::proposal;
-    std::string m_id;                   /**< unique to one publication */
-    ConfigurationVersion m_version = 0; /**< a proposal's base, a checkpoint's version */
-    LogOffset m_asOfOffset = -1;        /**< of a checkpoint: the last offset it takes into account */
+    std::string m_id;                   /**< unique to a publication */
+    ConfigurationVersion m_version = 0; /**< base version of a proposal, version of a checkpoint */
+    LogOffset m_asOfOffset = -1;        /**< of a checkpoint: the last offset that it includes */
     std::string m_text;
 
     auto operator<=> (const ConfigurationRecord&) const = default;
@@ -209,9 +209,9 @@
 /** Part of the configuration stream was read. */
 struct ConfigurationRead
 {
-    LogOffset m_from = 0;     /**< the offset that was asked for */
-    LogOffset m_earliest = 0; /**< the first that the log still keeps */
-    LogOffset m_next = 0;     /**< the offset to go on from */
+    LogOffset m_from = 0;     /**< the requested offset */
+    LogOffset m_earliest = 0; /**< the first offset that the log retains */
+    LogOffset m_next = 0;     /**< the offset to continue from */
     std::vector<ConfigurationRecord> m_records;
 
     auto operator<=> (const ConfigurationRead&) const = default;
@@ -257,29 +257,29 @@
 {
     none,
     key,
-    malformed /**< several, of another scheme, or what can't be a key */
+    malformed /**< several credentials, an unsupported scheme or an invalid key */
 };
 
-/** What a sender shows of whom it speaks for. */
+/** The credential of a request. */
 struct Credential
 {
     CredentialKind m_kind = CredentialKind::none;
-    std::string m_key; /**< a secret: goes to no log, metric or peer */
+    std::string m_key; /**< secret: must not be logged, exported or sent to peers */
 
     auto operator<=> (const Credential&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_kind, m_key); }
 };
 
-/** A relayed request came in, from a caller of this instance or from its target. */
+/** A relayed request was received from a caller of this instance or from its target. */
 struct RelayRequestReceived
 {
     Ticket m_ticket = 0;
-    std::string m_host; /**< that the request names; part of what picks the route */
+    std::string m_host; /**< requested host; selects the route together with the path */
     RelayContent m_content;
-    std::optional<Duration> m_timeout; /**< how long the sender waits; nullopt: it did not say */
+    std::optional<Duration> m_timeout; /**< set by the sender; nullopt: none */
     Credential m_credential;
-    HeaderList m_credentialHeaders; /**< as they were sent; they travel on only where no keys are declared */
+    HeaderList m_credentialHeaders; /**< unmodified; forwarded only if no keys are declared */
 
     auto operator<=> (const RelayRequestReceived&) const = default;
 
@@ -291,13 +291,13 @@
 
 enum class TargetReplyKind : std::uint8_t
 {
-    answered, /**< the target's whole answer */
-    rejected, /**< the target says that it did not run the request */
-    notSent,  /**< no connection came up: nothing was sent */
-    broken    /**< the request may have run, and there is no whole answer */
+    answered, /**< the target answered completely */
+    rejected, /**< the target reported that it did not run the request */
+    notSent,  /**< connecting failed: nothing was sent */
+    broken    /**< no complete answer; the request may have run */
 };
 
-/** How a relayed request ended at the own target. */
+/** Result of a relayed request at this node's target. */
 struct TargetReply
 {
     CallId m_call = 0;
@@ -316,17 +316,17 @@
     gone
 };
 
-/** The own target said what it is. */
+/** This node's target announced itself. */
 struct TargetAnnounced
 {
     TargetId m_target;
     AnnouncedState m_state = AnnouncedState::serving;
-    std::uint64_t m_sequence = 0; /**< rises with each announcement of one life; gone has none */
+    std::uint64_t m_sequence = 0; /**< increases with each announcement of an incarnation; not set for gone */
     ServiceName m_service;
     Endpoint m_endpoint;
     std::uint32_t m_slots = 0;
-    std::optional<Duration> m_startedAt {}; /**< since the Unix epoch, by its own clock: a target that starts
-                                               again may keep its id; nullopt: it does not say */
+    std::optional<Duration> m_startedAt {}; /**< since the Unix epoch, by the target's clock: tells restarts
+                                               with the same id apart; nullopt: not announced */
 
     auto operator<=> (const TargetAnnounced&) const = default;
 
@@ -336,7 +336,7 @@
     }
 };
 
-/** The store was read: the newest routes, as their operators wrote them. */
+/** The newest routes were read from the store; m_text is unparsed. */
 struct RoutesRead
 {
     std::string m_text;
@@ -346,24 +346,24 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_text); }
 };
 
-/** The store answered a read of the routes: all versions that were written before it was asked have been
-   handed on. */
+/** The store answered a read of the routes: all versions written before m_askedAt were reported by
+   RoutesRead. */
 struct RoutesConfirmed
 {
-    Duration m_askedAt {}; /**< by this process's clock (BootClock) */
+    Duration m_askedAt {}; /**< time of the read, by BootClock */
 
     auto operator<=> (const RoutesConfirmed&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_askedAt); }
 };
 
-/** The store was read: nodes that announced themselves or were withdrawn since the last read. */
+/** Member records that were written or withdrawn since the last read of the store. */
 struct MembersRead
 {
     std::vector<Member> m_members;
     std::vector<InstanceName> m_withdrawn;
-    std::vector<InstanceName> m_unreadable {}; /**< whose newest record says nothing that can be read */
-    StorePlace m_end {}; /**< of the records that are known now; without an offset: not all are yet */
+    std::vector<InstanceName> m_unreadable {}; /**< whose newest record is invalid */
+    StorePlace m_end {}; /**< end of the records read so far; without an offset: the listing is incomplete */
 
     auto operator<=> (const MembersRead&) const = default;
 
@@ -373,7 +373,7 @@
     }
 };
 
-/** The store came back from an older copy of itself, and is read anew. */
+/** The store was restored from an older copy and is read again from the start. */
 struct StoreRestored
 {
     StoreEra m_era = 0;
@@ -383,7 +383,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_era); }
 };
 
-/** The store answers again, or no longer does. */
+/** The store became reachable or unreachable. */
 struct StoreReached
 {
     bool m_isReached = false;
--- a/modules/plankledge_policy/KeyedRequests.cpp
+++ b/modules/plankledge_policy/KeyedRequests.cpp
@@ -9,9 +9,9 @@
 {
 
 constexpr Duration housekeepingPeriod = std::chrono::seconds (5);
-constexpr Duration bufferedAfterPause = Milliseconds (100);
-constexpr Duration heartbeatTimePerPeer = Milliseconds (200);
-constexpr Duration listTimePerMember = Milliseconds (36); // at 40 bytes a line about 1.1 KB/s at any size
+constexpr Duration staleInputPeriod = Milliseconds (100);
+constexpr Duration heartbeatPeriodPerPeer = Milliseconds (200);
+constexpr Duration listPeriodPerMember = Milliseconds (36); // about 1.1 KB/s at 40 bytes per entry
 
 } // namespace
 
@@ -66,7 +66,7 @@
 
 void KeyedRequests::onPause()
 {
-    m_inbound.gate().refuseBufferedUntil (m_turn.now() + bufferedAfterPause);
+    m_inbound.gate().refuseBufferedUntil (m_turn.now() + staleInputPeriod);
 }
 
 //==============================================================================
@@ -83,12 +83,12 @@
     case TimerKind::inquiryTimeout:
         return m_inbound.inquiries().onTimeout (m_turn, timer.m_subject);
     case TimerKind::heartbeat:
-        return onHeartbeatTime();
+        return onHeartbeatTimer();
     case TimerKind::rumour:
         m_rumours.spread (m_turn, m_configuration.version(), Rumours::usualReceivers);
         return m_timers.set (m_turn.now() + m_settings.m_rumourPeriod, TimerKind::rumour);
     case TimerKind::listPoll:
-        return onListPollTime();
+        return onListPollTimer();
     case TimerKind::logPoll:
         return m_configuration.onPollTime (m_turn, m_membership.size());
     case TimerKind::join:
@@ -105,22 +105,22 @@
         m_membership.removeExpired (m_turn.now());
         return m_timers.set (m_turn.now() + housekeepingPeriod, TimerKind::housekeeping);
     default:
-        return; // of another part
+        return; // handled elsewhere
     }
 }
 
-void KeyedRequests::onListPollTime()
+void KeyedRequests::onListPollTimer()
 {
-    const auto scaled = listTimePerMember * static_cast<Duration::rep> (m_membership.size());
+    const auto scaled = listPeriodPerMember * static_cast<Duration::rep> (m_membership.size());
     const auto period = std::max (m_settings.m_listPeriod, scaled);
     m_turn.emit (FetchList {});
     m_timers.set (m_turn.now() + period / 2 + m_turn.jittered (period / 2) / 2, TimerKind::listPoll);
 }
 
-void KeyedRequests::onHeartbeatTime()
+void KeyedRequests::onHeartbeatTimer()
 {
     const auto peers = static_cast<Duration::rep> (m_membership.peers().size());
-    const auto period = std::max (m_settings.m_heartbeatPeriod, heartbeatTimePerPeer * peers);
+    const auto period = std::max (m_settings.m_heartbeatPeriod, heartbeatPeriodPerPeer * peers);
     sendHeartbeats();
     m_timers.set (m_turn.now() + period, TimerKind::heartbeat);
 }
@@ -196,7 +196,7 @@
     updateOwnState();
 }
 
-/** Whoever says first that the instance is leaving, its target or the list, is believed. */
+/** The instance is leaving as soon as either its target or the platform's list says so. */
 void KeyedRequests::updateOwnState()
 {
     const bool isListedLeaving = m_membership.isListedLeaving (m_settings.m_self.m_id.m_instance);
--- a/modules/plankledge_policy/KeyedRequests.h
+++ b/modules/plankledge_policy/KeyedRequests.h
@@ -16,11 +16,10 @@
 
 //==============================================================================
 /**
-    The decisions about requests that their callers name by a key: at-most-once
-    records, and the membership, configuration and drain that they rest on.
+    Decisions about requests with an idempotency key: at-most-once execution by records,
+    and the membership, configuration and drain protocols that it depends on.
 
-    Each concern is a part of its own; this class only leads events to them and ties
-    them together.
+    This class only dispatches events to its components and connects them.
 
     @see Reducer, RelayDecisions
 */
@@ -33,10 +32,10 @@
     KeyedRequests (const KeyedRequests&) = delete;
     KeyedRequests& operator= (const KeyedRequests&) = delete;
 
-    /** Begins: the first effects of a node's life. */
+    /** Emits the first effects and sets the timers. */
     void start();
 
-    /** The process stood still; what it finds in its buffers may be old. */
+    /** The process was paused: input that was buffered meanwhile may be stale. */
     void onPause();
 
     void onTimer (const TimerQueue::Timer& timer);
@@ -64,7 +63,7 @@
     void handle (const JoinsRead& event) { m_join.onJoinsRead (m_turn, event); }
     void handle (const StopRequested&) { m_drain.start (m_turn); }
 
-    /** Something was heard from a peer, whatever it was. */
+    /** A message of any kind was received from a peer. */
     void onHeardFrom (const NodeId& from) { m_membership.onHeardFrom (from, m_turn.now()); }
 
     void onMessage (LinkId link, const NodeId& from, const CallRequest& message);
@@ -84,9 +83,9 @@
 
 private:
     //==============================================================================
-    void onListPollTime();
+    void onListPollTimer();
     void updateOwnState();
-    void onHeartbeatTime();
+    void onHeartbeatTimer();
     void sendHeartbeats();
     void announceState();
     void onEstablished();
--- a/modules/plankledge_policy/NodeSettings.h
+++ b/modules/plankledge_policy/NodeSettings.h
@@ -10,11 +10,11 @@
 enum class PolicyKind : std::uint8_t
 {
     plankledge,
-    baseline /**< for comparison: no shedding, two more tries at every hop, no chain budget */
+    baseline /**< for comparison: no load shedding, two retries per hop, no retry budget */
 };
 
 //==============================================================================
-/** The mechanisms of the at-most-once protocol, each of which tests can switch off to see its loss. */
+/** Mechanisms of the at-most-once protocol. Tests disable each one to verify that it is needed. */
 struct Mechanisms
 {
     bool m_fences = true;
@@ -37,7 +37,7 @@
 };
 
 //==============================================================================
-/** What a node's decisions depend on besides events. Durations are the defaults for clusters of any size. */
+/** Settings of a node. The defaults suit clusters of any size. */
 struct NodeSettings
 {
     Member m_self;
@@ -47,16 +47,16 @@
 
     Duration m_heartbeatPeriod = std::chrono::seconds (2);
     Duration m_rumourPeriod = Milliseconds (500);
-    Duration m_listPeriod = std::chrono::seconds (2);        /**< the least; grows with the cluster */
-    Duration m_logPeriod = std::chrono::seconds (1);         /**< the least; grows with the cluster */
-    Duration m_joinPeriod = Milliseconds (500);              /**< between join requests */
-    Duration m_drainGrace = std::chrono::seconds (1);        /**< a leaver still takes work that long */
-    Duration m_longestDrain = std::chrono::seconds (40);     /**< then a leaver goes whatever runs */
-    Duration m_listLagBound = std::chrono::seconds (30);     /**< a live instance is listed by then */
-    Duration m_dropAfterSilence = std::chrono::seconds (5);  /**< unlisted and not heard from: gone */
+    Duration m_listPeriod = std::chrono::seconds (2);    /**< minimum; grows with the cluster */
+    Duration m_logPeriod = std::chrono::seconds (1);     /**< minimum; grows with the cluster */
+    Duration m_joinPeriod = Milliseconds (500);          /**< between join requests */
+    Duration m_drainGrace = std::chrono::seconds (1);    /**< a leaving node accepts calls for this long */
+    Duration m_longestDrain = std::chrono::seconds (40); /**< a leaving node then exits with calls running */
+    Duration m_listLagBound = std::chrono::seconds (30); /**< maximum delay until an instance is listed */
+    Duration m_dropAfterSilence = std::chrono::seconds (5);  /**< until an unlisted member is removed */
     Duration m_checkpointPeriod = std::chrono::seconds (60); /**< between checkpoints of the declarations */
-    Duration m_wakeGap = Milliseconds (700); /**< no event for longer: the process was frozen */
-    std::uint32_t m_mostRecords = 100000;    /**< idempotency records kept at most */
+    Duration m_pauseThreshold = Milliseconds (700); /**< longest gap between events without a pause */
+    std::uint32_t m_mostRecords = 100000;           /**< maximum number of idempotency records */
 
     auto operator<=> (const NodeSettings&) const = default;
 
@@ -65,11 +65,11 @@
         archive (m_self, m_seed, m_policy, m_mechanisms);
         archive (m_heartbeatPeriod, m_rumourPeriod, m_listPeriod, m_logPeriod, m_joinPeriod);
         archive (m_drainGrace, m_longestDrain, m_listLagBound, m_dropAfterSilence, m_checkpointPeriod);
-        archive (m_wakeGap, m_mostRecords);
+        archive (m_pauseThreshold, m_mostRecords);
     }
 };
 
-/** Turns the text of declarations into values; nullopt where it is not valid. Must be a pure function. */
+/** Parses declarations; nullopt if the text is invalid. Must be a pure function. */
 using DeclarationsParser = std::function<std::optional<Declarations> (const std::string& text)>;
 
 } // namespace plankledge
--- a/modules/plankledge_policy/Reducer.cpp
+++ b/modules/plankledge_policy/Reducer.cpp
@@ -6,21 +6,21 @@
 namespace
 {
 
-/** Hands an event to a part that takes its kind. */
-template <class Part, class Body> void offer (Part* part, const Body& body)
+/** Passes an event to a component if the component handles its type. */
+template <class Component, class Body> void dispatch (Component* component, const Body& body)
 {
-    if constexpr (requires { part->handle (body); })
-        if (part != nullptr)
-            part->handle (body);
+    if constexpr (requires { component->handle (body); })
+        if (component != nullptr)
+            component->handle (body);
 }
 
-/** Hands a peer's message to a part that takes its kind. */
-template <class Part, class Message>
-void offer (Part* part, LinkId link, const NodeId& from, const Message& message)
+/** Passes a peer's message to a component if the component handles its type. */
+template <class Component, class Message>
+void dispatch (Component* component, LinkId link, const NodeId& from, const Message& message)
 {
-    if constexpr (requires { part->onMessage (link, from, message); })
-        if (part != nullptr)
-            part->onMessage (link, from, message);
+    if constexpr (requires { component->onMessage (link, from, message); })
+        if (component != nullptr)
+            component->onMessage (link, from, message);
 }
 
 } // namespace
@@ -59,19 +59,19 @@
 Effects Reducer::apply (const Event& event)
 {
     m_turn.begin (event.m_time);
-    noticePause (event.m_time);
+    detectPause (event.m_time);
     runTimers();
     std::visit ([this] (const auto& body) { handle (body); }, event.m_body);
     return m_turn.takeEffects();
 }
 
 //==============================================================================
-void Reducer::noticePause (Time now)
+void Reducer::detectPause (Time now)
 {
     const auto pause = now - m_lastEvent;
     m_lastEvent = now;
 
-    if (pause <= m_settings.m_wakeGap)
+    if (pause <= m_settings.m_pauseThreshold)
         return;
 
     ++m_counters.m_wakes;
@@ -99,8 +99,8 @@
 
 template <class Body> void Reducer::handle (const Body& body)
 {
-    offer (m_keyed.get(), body);
-    offer (m_relay.get(), body);
+    dispatch (m_keyed.get(), body);
+    dispatch (m_relay.get(), body);
 }
 
 void Reducer::handle (const PeerMessageReceived& event)
@@ -111,11 +111,11 @@
     if (m_relay != nullptr)
         m_relay->onHeardFrom (event.m_from);
 
-    const auto hand = [&] (const auto& message) {
-        offer (m_keyed.get(), event.m_link, event.m_from, message);
-        offer (m_relay.get(), event.m_link, event.m_from, message);
+    const auto dispatchMessage = [&] (const auto& message) {
+        dispatch (m_keyed.get(), event.m_link, event.m_from, message);
+        dispatch (m_relay.get(), event.m_link, event.m_from, message);
     };
-    std::visit (hand, event.m_message);
+    std::visit (dispatchMessage, event.m_message);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/Reducer.h
+++ b/modules/plankledge_policy/Reducer.h
@@ -11,11 +11,11 @@
 
 //==============================================================================
 /**
-    All decisions of one node: takes an event, returns what is to be done.
+    The decision logic of a node: maps each event to effects.
 
-    The same settings and events give the same effects. A node serves keyed requests
-    (its own interface) or relayed ones, or both; the type of an event or message says
-    which part it is for, and what a node does not serve costs it nothing.
+    Deterministic: the same settings and events give the same effects. Handles either
+    keyed requests (the native interface) or relayed requests, depending on the constructor.
+    Events and messages are dispatched by type.
 
     @see Event, Effect, KeyedRequests, RelayDecisions
 */
@@ -23,28 +23,31 @@
 {
 public:
     //==============================================================================
-    /** Serves keyed requests. */
+    /** Creates a reducer for keyed requests. */
     Reducer (const NodeSettings& settings, DeclarationsParser parser);
 
-    /** Serves relayed requests. */
+    /** Creates a reducer for relayed requests. */
     Reducer (const NodeSettings& settings, const RelaySettings& relay, RouteTableParser parser);
 
     Reducer (const Reducer&) = delete;
     Reducer& operator= (const Reducer&) = delete;
 
-    /** Begins: the first effects of a node's life. */
+    /** Starts the node.
+
+        @returns the first effects
+    */
     Effects start (Time now);
 
-    /** Takes in one event. Times must not go back. */
+    /** Applies an event. Times must not decrease. */
     Effects apply (const Event& event);
 
-    /** @returns when TimePassed must come at the latest; nullopt: never */
+    /** @returns the latest time at which TimePassed must be applied; nullopt: none is needed */
     std::optional<Time> nextWakeUp() const noexcept { return m_timers.next(); }
 
     //==============================================================================
     const Counters& counters() const noexcept { return m_counters; }
 
-    /** The part for keyed requests; only where the node serves them. */
+    /** The component for keyed requests. Must only be called if the node serves them. */
     const KeyedRequests& keyed() const noexcept { return *m_keyed; }
 
     const Membership& membership() const noexcept { return m_keyed->membership(); }
@@ -54,15 +57,16 @@
     bool isEstablished() const noexcept { return m_keyed->isEstablished(); }
     bool isDraining() const noexcept { return m_keyed->isDraining(); }
 
-    /** The part for relayed requests; only where the node serves them. */
     bool servesRelayed() const noexcept { return m_relay != nullptr; }
+
+    /** The component for relayed requests. Must only be called if the node serves them. */
     const RelayDecisions& relay() const noexcept { return *m_relay; }
 
 private:
     //==============================================================================
     template <class Body> void handle (const Body& body);
     void handle (const PeerMessageReceived& event);
-    void noticePause (Time now);
+    void detectPause (Time now);
     void runTimers();
 
     const NodeSettings m_settings;
--- a/modules/plankledge_policy/TimerQueue.h
+++ b/modules/plankledge_policy/TimerQueue.h
@@ -24,18 +24,18 @@
     drain,
     housekeeping,
     checkpoint,
-    relayDeadline,   /**< of a request at its entry */
-    relayHold,       /**< a request at its entry has waited long enough for a target */
-    gateDeadline,    /**< of a request at the gate */
-    gateHold,        /**< a request has waited long enough in the gate */
-    relayWindow,     /**< looks after held requests and silent peers */
-    admissionPeriod, /**< looks at the load of the gate */
+    relayDeadline,   /**< deadline of a request at its entry node */
+    relayHold,       /**< end of a request's wait for a target at its entry node */
+    gateDeadline,    /**< deadline of a request in the gate */
+    gateHold,        /**< end of a request's wait in the gate */
+    relayWindow,     /**< retries held requests and detects silent peers */
+    admissionPeriod, /**< updates the admission level of the gate */
     peerHello,
     relayStop
 };
 
 //==============================================================================
-/** What is due when, as a value: a timer has a kind and the number of what it is for. */
+/** Pending timers, ordered by due time. A timer has a kind and the id of its subject. */
 class TimerQueue
 {
 public:
@@ -52,7 +52,7 @@
     void set (Time due, TimerKind kind, CallId subject = 0) { m_timers.insert ({ due, kind, subject }); }
     void cancel (Time due, TimerKind kind, CallId subject) { m_timers.erase ({ due, kind, subject }); }
 
-    /** Takes the next timer that is due, in a fixed order. */
+    /** Removes the next due timer; timers due at the same time are ordered by kind and subject. */
     std::optional<Timer> takeDue (Time now)
     {
         if (m_timers.empty() || m_timers.begin()->m_due > now)
@@ -63,7 +63,7 @@
         return timer;
     }
 
-    /** @returns when the first timer is due, or nullopt */
+    /** @returns the due time of the first timer; nullopt if there is none */
     std::optional<Time> next() const noexcept
     {
         return m_timers.empty() ? std::nullopt : std::optional<Time> (m_timers.begin()->m_due);
--- a/modules/plankledge_policy/Turn.h
+++ b/modules/plankledge_policy/Turn.h
@@ -11,7 +11,8 @@
 {
 
 //==============================================================================
-/** What the parts of the reducer share while one event is applied. */
+/** The context in which the reducer's components process one event: time, settings, state shared by the
+    components, and the effects emitted so far. */
 class Turn
 {
 public:
@@ -24,7 +25,7 @@
     {
     }
 
-    /** Starts the next event. */
+    /** Starts processing the next event. */
     void begin (Time now)
     {
         m_now = now;
@@ -39,14 +40,12 @@
     TimerQueue& timers() noexcept { return m_timers; }
     Random& random() noexcept { return m_random; }
 
-    /** Adds an effect. */
     void emit (Effect effect) { m_effects.push_back (std::move (effect)); }
 
-    /** Takes all effects of this turn. */
+    /** Removes and returns the effects of this turn. */
     Effects takeEffects() { return std::exchange (m_effects, {}); }
 
-    /** @returns the duration, lengthened by up to the same again: spreads what many nodes or callers would do
-     * at once */
+    /** @returns the duration plus a random 0 to 100 % of it, so that nodes and callers don't act in step */
     Duration jittered (Duration duration)
     {
         return duration + Duration (static_cast<Duration::rep> (
--- a/modules/plankledge_policy/plankledge_policy.h
+++ b/modules/plankledge_policy/plankledge_policy.h
@@ -1,7 +1,7 @@
 /*  BEGIN MODULE
     name:          plankledge_policy
-    description:   The decisions of a node: one reducer over all events, effects as data.
-                   No input or output, no clock: time and random seeds come from outside.
+    description:   The decision logic of a node: a reducer that maps events to effects.
+                   Performs no I/O and reads no clock; time and random seeds are passed in.
     dependencies:  plankledge_core
     END MODULE */
 
--- a/modules/plankledge_policy/relay/RelayDecisions.h
+++ b/modules/plankledge_policy/relay/RelayDecisions.h
@@ -121,9 +121,7 @@
     RelayEntry m_entry;
     Time m_windowStartedAt;
     std::optional<Time> m_stoppedAt;
-    std::optional<ConfigurationVersion>
-        m_versionInStore; /**< the newest version read from the store; nullopt: none
-                             in its current era, or an invalid one */
+    std::optional<ConfigurationVersion> m_versionInStore; /**< newest one read; nullopt: none or invalid */
 };
 
 } // namespace plankledge
