--- a/modules/plankledge_policy/relay/RelaySettings.h
+++ b/modules/plankledge_policy/relay/RelaySettings.h
@@ -23,10 +23,8 @@
     Duration m_retryWindow = std::chrono::seconds (10); /**< in which retries are counted */
     Duration m_stopGrace = std::chrono::seconds (6); /**< from the stop request until the process is killed */
     Duration m_announcementPeriod = Milliseconds (1500); /**< between announcements of a target */
-    Duration
-        m_revocationBound {}; /**< maximum time until a revoked API key is refused everywhere; 0: unbounded */
-    Duration m_limitWindow =
-        std::chrono::seconds (5);    /**< in which the requests of an organisation are counted */
+    Duration m_revocationBound {}; /**< how long a revoked API key may still be accepted; 0: unbounded */
+    Duration m_limitWindow = std::chrono::seconds (5); /**< over which requests are counted */
     double m_limitOverage = 0.1;     /**< fraction by which a limit may be exceeded in a window */
     std::uint32_t m_limitSlack = 20; /**< requests allowed beyond the overage, over all nodes in a window */
     LimitSharing m_limitSharing = LimitSharing::homes;
--- a/modules/plankledge_policy/relay/RequestIds.h
+++ b/modules/plankledge_policy/relay/RequestIds.h
@@ -28,6 +28,7 @@
 /** One request chain in this many has its routine decisions logged; all nodes sample the same chains. */
 inline constexpr std::uint64_t chainsPerLogSample = 64;
 
+/** @returns whether the request belongs to a sampled chain */
 inline bool isLogged (std::string_view id) noexcept
 {
     return hashText (rootOf (id)) % chainsPerLogSample == 0;
--- a/modules/plankledge_policy/relay/routes/CallGraph.h
+++ b/modules/plankledge_policy/relay/routes/CallGraph.h
@@ -72,7 +72,7 @@
 
     std::map<RouteName, Caller> m_own;
     std::map<InstanceName, std::vector<CallEdge>> m_peers;
-    std::map<RouteName, std::vector<CallEdge>> m_merged; /**< by caller; mean over all reporting nodes */
+    std::map<RouteName, std::vector<CallEdge>> m_merged; /**< by caller; mean over the reporting nodes */
     std::map<RouteName, CallTotals> m_totals;            /**< cache, cleared when m_merged changes */
 };
 
--- a/modules/plankledge_policy/relay/routes/RouteTable.h
+++ b/modules/plankledge_policy/relay/routes/RouteTable.h
@@ -80,8 +80,7 @@
         return m_priorities.empty() ? 0 : m_priorities.front();
     }
 
-    /** @returns the lower end of the priority's interval in [0, 1), which the priorities in use share equally
-     */
+    /** @returns the start of the priority's interval in [0, 1); the priorities in use divide it equally */
     double placeOfPriority (std::uint32_t priority) const noexcept;
 
     /** @returns the width of each priority's interval in [0, 1) */
--- a/tests/relay/RelayDecisions_test.cpp
+++ b/tests/relay/RelayDecisions_test.cpp
@@ -24,8 +24,7 @@
     CHECK (site.runsOf ("a")[0].m_dispatch.m_callerService == "web");
 }
 
-TEST_CASE (
-    "without a matching route the reason is noRoute; without a configuration the caller is told to retry")
+TEST_CASE ("without a route a request is refused; without a configuration it is refused with a retry delay")
 {
     RelaySite site;
     const auto unknown = site.send ("entry", "a", "/nothing/x");
