--- a/modules/plankledge_policy/relay/entry/RelayEntry.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.cpp
@@ -4,7 +4,7 @@
 
 #include "plankledge_core/ContentDigest.h"
 #include "plankledge_policy/relay/RequestIds.h"
-#include "plankledge_policy/relay/entry/TargetChoice.h"
+#include "plankledge_policy/relay/entry/TargetSelection.h"
 
 #include <algorithm>
 
--- a/modules/plankledge_policy/relay/entry/RelayEntry.h
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.h
@@ -6,7 +6,7 @@
 #include "plankledge_policy/relay/entry/EntryAdmission.h"
 #include "plankledge_policy/relay/entry/EntryRequest.h"
 #include "plankledge_policy/relay/entry/RetryPolicy.h"
-#include "plankledge_policy/relay/entry/ServiceShares.h"
+#include "plankledge_policy/relay/entry/WeightedServiceSelector.h"
 #include "plankledge_policy/relay/gate/TargetGate.h"
 #include "plankledge_policy/relay/limits/OrganisationLimits.h"
 #include "plankledge_policy/relay/routes/RouteFollower.h"
@@ -120,7 +120,7 @@
     std::map<Ticket, CallId> m_byTicket;
     std::map<CallId, CallId> m_byCall; /**< a sending's id to its request's */
     std::set<CallId> m_held;
-    ServiceShares m_shares;
+    WeightedServiceSelector m_shares;
     CallId m_next = 1;
     Time m_staleUntil;
     std::optional<Time> m_stoppedAt;
--- a/modules/plankledge_policy/relay/entry/RetryTokens.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayRetryThrottle.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/entry/RetryTokens.h"
+#include "plankledge_policy/relay/entry/RelayRetryThrottle.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,18 +34,18 @@
 } // namespace
 
 //==============================================================================
-RetryTokens::RetryTokens (const RelaySettings& settings)
+RelayRetryThrottle::RelayRetryThrottle (const RelaySettings& settings)
     : m_settings (settings)
     , m_slotTime (std::max (Duration (1), settings.m_retryWindow / static_cast<int> (slotCount)))
 {
 }
 
-std::int64_t RetryTokens::numberOf (Time now) const noexcept
+std::int64_t RelayRetryThrottle::numberOf (Time now) const noexcept
 {
     return now.time_since_epoch() / m_slotTime;
 }
 
-RetryTokens::Slot& RetryTokens::slotOf (const ServiceName& service, Time now)
+RelayRetryThrottle::Slot& RelayRetryThrottle::slotOf (const ServiceName& service, Time now)
 {
     const auto number = numberOf (now);
     auto& slot = m_buckets[service].m_slots[static_cast<std::size_t> (number) % slotCount];
@@ -56,7 +56,7 @@
     return slot;
 }
 
-RetryTokens::Sum RetryTokens::sumOf (const Bucket& bucket, Time now) const noexcept
+RelayRetryThrottle::Sum RelayRetryThrottle::sumOf (const Bucket& bucket, Time now) const noexcept
 {
     const auto oldest = numberOf (now) - static_cast<std::int64_t> (slotCount) + 1;
     Sum sum;
@@ -73,19 +73,19 @@
     return sum;
 }
 
-void RetryTokens::onRequest (const ServiceName& service, Time now)
+void RelayRetryThrottle::onRequest (const ServiceName& service, Time now)
 {
     slotOf (service, now).m_requests += 1.0;
 }
 
-void RetryTokens::charge (const ServiceName& service, Time now)
+void RelayRetryThrottle::charge (const ServiceName& service, Time now)
 {
     slotOf (service, now).m_spent += 1.0;
 }
 
 //==============================================================================
-bool RetryTokens::take (const ServiceName& service, const std::map<ServiceName, double>& demand, double place,
-                        Time now)
+bool RelayRetryThrottle::take (const ServiceName& service, const std::map<ServiceName, double>& demand,
+                               double place, Time now)
 {
     auto& slot = slotOf (service, now);
     auto& bucket = m_buckets[service];
@@ -114,7 +114,7 @@
     return true;
 }
 
-void RetryTokens::wish (Bucket& bucket, double place, double cost, Time now) noexcept
+void RelayRetryThrottle::wish (Bucket& bucket, double place, double cost, Time now) noexcept
 {
     const auto kept = std::exp (-inSeconds (now - bucket.m_wishedAt) / wishSeconds);
     bucket.m_wishedAt = now;
@@ -127,7 +127,7 @@
 }
 
 /** @returns up to which place the wishes together stay under the rate */
-double RetryTokens::levelOf (const Bucket& bucket, double rate) noexcept
+double RelayRetryThrottle::levelOf (const Bucket& bucket, double rate) noexcept
 {
     double wished = 0.0;
 
--- a/modules/plankledge_policy/relay/entry/RetryTokens.h
+++ b/modules/plankledge_policy/relay/entry/RelayRetryThrottle.h
@@ -25,11 +25,11 @@
 
     Units: requests that reach a target beyond their first.
 */
-class RetryTokens
+class RelayRetryThrottle
 {
 public:
     //==============================================================================
-    explicit RetryTokens (const RelaySettings& settings);
+    explicit RelayRetryThrottle (const RelaySettings& settings);
 
     /** A request is about to be sent to the service for the first time. */
     void onRequest (const ServiceName& service, Time now);
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.h
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.h
@@ -2,7 +2,7 @@
 
 #include "plankledge_policy/Turn.h"
 #include "plankledge_policy/relay/entry/EntryRequest.h"
-#include "plankledge_policy/relay/entry/RetryTokens.h"
+#include "plankledge_policy/relay/entry/RelayRetryThrottle.h"
 #include "plankledge_policy/relay/peers/PeerTable.h"
 #include "plankledge_policy/relay/routes/CallGraph.h"
 #include "plankledge_policy/relay/routes/RouteFollower.h"
@@ -19,7 +19,7 @@
     its route allows. What a target rejected did not run: it may go to the same targets
     several times. Every sending beyond the first is paid for.
 
-    @see RetryTokens
+    @see RelayRetryThrottle
 */
 class RetryPolicy
 {
@@ -55,7 +55,7 @@
     double placeOf (const detail::EntryRequest& request) const;
 
     Parts m_parts;
-    RetryTokens m_tokens;
+    RelayRetryThrottle m_tokens;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/TargetChoice.cpp
+++ b/modules/plankledge_policy/relay/entry/TargetSelection.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/entry/TargetChoice.h"
+#include "plankledge_policy/relay/entry/TargetSelection.h"
 
 #include <algorithm>
 
--- a/modules/plankledge_policy/relay/entry/ServiceShares.cpp
+++ b/modules/plankledge_policy/relay/entry/WeightedServiceSelector.cpp
@@ -1,9 +1,9 @@
-#include "plankledge_policy/relay/entry/ServiceShares.h"
+#include "plankledge_policy/relay/entry/WeightedServiceSelector.h"
 
 namespace plankledge
 {
 
-const ServiceName& ServiceShares::next (const Route& route)
+const ServiceName& WeightedServiceSelector::next (const Route& route)
 {
     if (route.m_services.size() == 1)
         return route.m_services.front().m_service;
--- a/modules/plankledge_policy/relay/entry/ServiceShares.h
+++ b/modules/plankledge_policy/relay/entry/WeightedServiceSelector.h
@@ -11,7 +11,7 @@
 //==============================================================================
 /** Divides a split route's requests among its services by weight: smooth weighted round robin, so that each
     share is right over any short run of requests. */
-class ServiceShares
+class WeightedServiceSelector
 {
 public:
     //==============================================================================
--- a/tests/relay/entry/RetryTokens_test.cpp
+++ b/tests/relay/entry/RetryTokens_test.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/entry/RetryTokens.h"
+#include "plankledge_policy/relay/entry/RelayRetryThrottle.h"
 
 #include <array>
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 const Time start { std::chrono::hours (1) };
 
 /** @returns retries taken in a second of so many requests, each of which wants one */
-int retriesOf (RetryTokens& tokens, int requests, Time& now)
+int retriesOf (RelayRetryThrottle& tokens, int requests, Time& now)
 {
     int taken = 0;
 
@@ -33,7 +33,7 @@
 //==============================================================================
 TEST_CASE ("a node that starts has no retries")
 {
-    RetryTokens tokens { RelaySettings() };
+    RelayRetryThrottle tokens { RelaySettings() };
     CHECK_FALSE (tokens.take ("plans", {}, 0.0, start));
     CHECK_FALSE (tokens.take ("plans", {}, 0.0, start + std::chrono::hours (1)));
 }
@@ -45,7 +45,7 @@
     constexpr std::size_t windowSeconds = 10;
     const RelaySettings settings;
     REQUIRE (settings.m_retryWindow == Duration (std::chrono::seconds (windowSeconds)));
-    std::vector<RetryTokens> all (nodes, RetryTokens (settings));
+    std::vector<RelayRetryThrottle> all (nodes, RelayRetryThrottle (settings));
     std::vector<Time> clocks (nodes, start);
     std::vector<int> bySecond;
 
@@ -79,8 +79,8 @@
 TEST_CASE ("a retry whose calls run again costs more")
 {
     const std::map<ServiceName, double> demand { { "corrections", 4.0 }, { "lodgement", 1.0 } };
-    RetryTokens plain { RelaySettings() };
-    RetryTokens deep { RelaySettings() };
+    RelayRetryThrottle plain { RelaySettings() };
+    RelayRetryThrottle deep { RelaySettings() };
     int plainTaken = 0;
     int deepTaken = 0;
 
@@ -99,7 +99,7 @@
 
 TEST_CASE ("where more is wanted than there is, some chains get all they want and the others nothing")
 {
-    RetryTokens tokens { RelaySettings() };
+    RelayRetryThrottle tokens { RelaySettings() };
     std::array<int, 10> wished {};
     std::array<int, 10> taken {};
 
@@ -125,8 +125,8 @@
 
 TEST_CASE ("calls of runs that were retries themselves leave less for others")
 {
-    RetryTokens plain { RelaySettings() };
-    RetryTokens charged { RelaySettings() };
+    RelayRetryThrottle plain { RelaySettings() };
+    RelayRetryThrottle charged { RelaySettings() };
     int plainTaken = 0;
     int chargedTaken = 0;
 
--- a/tests/relay/entry/ServiceShares_test.cpp
+++ b/tests/relay/entry/ServiceShares_test.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/entry/ServiceShares.h"
+#include "plankledge_policy/relay/entry/WeightedServiceSelector.h"
 
 #include <doctest/doctest.h>
 #include <map>
@@ -29,7 +29,7 @@
 
     for (const auto& services : rows)
     {
-        ServiceShares shares;
+        WeightedServiceSelector shares;
         const auto route = split ("route", services);
         std::uint32_t total = 0;
 
@@ -51,7 +51,7 @@
 
 TEST_CASE ("routes don't disturb each other, and a change of weights counts at once")
 {
-    ServiceShares shares;
+    WeightedServiceSelector shares;
     const auto first = split ("first", { { "one", 1 }, { "two", 1 } });
     const auto second = split ("second", { { "one", 1 }, { "two", 1 } });
     CHECK (shares.next (first) != shares.next (first));
