--- a/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
@@ -9,106 +9,108 @@
 namespace
 {
 
-/** A sender keeps its whole time for all its attempts, so one that waits clearly less than others of its
-   route has tried before. */
-constexpr double shareOfFirstAttempt = 0.97;
+/** Callers share one timeout among all their attempts. A request whose timeout is below this fraction of the
+    longest recent timeout of its route is therefore taken to be a retry. */
+constexpr double firstAttemptTimeoutShare = 0.97;
 
-/** The longest timeout of a route is forgotten by so much with each request, should senders change. */
-constexpr double timeoutKept = 0.9999;
+/** Decay per request of the longest recent timeout of a route, which lets it follow a change of callers. */
+constexpr double timeoutDecayFactor = 0.9999;
 
-/** Weight of a new request in the mean work of its priority. */
-constexpr double weightOfNew = 0.01;
+/** Smoothing factor of the moving average of the request cost of a priority. */
+constexpr double costSmoothingFactor = 0.01;
 
-/** Requests that ask more of the service that is short are refused sooner, but no kind is admitted less than
-   about two thirds as often as others of its priority. With 2 in place of 1.25 more requests were served in
-   all, and the heavy kind fell to 0.28 of its worth. */
-constexpr double largestHeaviness = 1.25;
+/** Upper bound of the relative cost of a request; its reciprocal is the lower bound. Expensive requests are
+    shed first, and the bound keeps their admission rate at about two thirds or more of that of other requests
+    of their priority. */
+constexpr double maxRelativeCost = 1.25;
 
-/** Of a thousand first attempts of a lesser priority, so many are ranked with the most urgent ones. Where
-   these can fill the short service alone, each kind is then begun about a quarter as often as the most urgent
-   one, and so at least a quarter as often as all together, which is what operators ask. Without, none of
-   2,250 were served in ten seconds. */
-constexpr std::uint64_t rankedFirstPermille = 250;
+/** Share of first attempts of lower priorities that are promoted to the most urgent priority, in thousandths.
+    Prevents starvation: where the most urgent priority alone can saturate the bottleneck service, each lower
+    priority is still admitted about a quarter as often as the most urgent one. */
+constexpr std::uint64_t promotedPermille = 250;
 
-/** @returns how long requests of a route take at the targets of a service, microseconds; 0: not known */
-double meanTime (const ServiceName& service, const RouteName& route, const PeerTable& peers)
+/** @returns the mean service time of a route over the targets of a service, in microseconds; 0 if unknown */
+double meanServiceTime (const ServiceName& service, const RouteName& route, const PeerTable& peers)
 {
     double sum = 0.0;
-    double known = 0.0;
+    double reportingPeers = 0.0;
 
     for (const auto* peer : peers.takingWork (service))
     {
         const auto time = static_cast<double> (peer->timeOf (route).count());
         sum += time;
-        known += time > 0.0 ? 1.0 : 0.0;
+        reportingPeers += time > 0.0 ? 1.0 : 0.0;
     }
 
-    return known > 0.0 ? sum / known : 0.0;
+    return reportingPeers > 0.0 ? sum / reportingPeers : 0.0;
 }
 
 } // namespace
 
 //==============================================================================
-EntryAdmission::Verdict EntryAdmission::judge (const Route& route, const ServiceName& service,
-                                               Duration timeout, const RouteTable& routes,
-                                               const PeerTable& peers, CallGraph& calls, Random& random)
+EntryAdmission::AdmissionDecision EntryAdmission::decide (const Route& route, const ServiceName& service,
+                                                          Duration timeout, const RouteTable& routes,
+                                                          const PeerTable& peers, CallGraph& calls,
+                                                          Random& random)
 {
     constexpr std::uint64_t cohorts = 1000;
     const auto& callees = calls.callsOf (route.m_name);
-    const auto bottleneck = bottleneckOf (service, calls.demandOf (route.m_name), peers);
+    const auto bottleneck = findBottleneck (service, calls.demandOf (route.m_name), peers);
     const auto cohort = static_cast<double> (random.below (cohorts)) / cohorts;
-    const bool isBack = isComingBack (route.m_name, timeout);
-    const auto priority = priorityOf (route, routes, isBack, random);
-    const auto order = isBack ? (1.0 + cohort) / 2.0 : cohort / 2.0;
-    const auto share = 1.0 - std::pow (1.0 - order, heaviness (route, service, bottleneck, callees, peers));
-    const auto place = routes.placeOfPriority (priority) + share * routes.widthOfPriority();
+    const bool isRetry = isClientRetry (route.m_name, timeout);
+    const auto priority = priorityOf (route, routes, isRetry, random);
+    const auto cohortRank = isRetry ? (1.0 + cohort) / 2.0 : cohort / 2.0;
+    const auto rankInPriority =
+        1.0 - std::pow (1.0 - cohortRank, relativeCost (route, service, bottleneck, callees, peers));
+    const auto shedRank = routes.placeOfPriority (priority) + rankInPriority * routes.widthOfPriority();
 
-    if (place >= bottleneck.m_level)
-        return { Refusal { bottleneck.m_service, place, bottleneck.m_level }, priority };
+    if (shedRank >= bottleneck.m_level)
+        return { Refusal { bottleneck.m_service, shedRank, bottleneck.m_level }, priority };
 
     return { std::nullopt, priority };
 }
 
-std::uint32_t EntryAdmission::priorityOf (const Route& route, const RouteTable& routes, bool isComingBack,
+std::uint32_t EntryAdmission::priorityOf (const Route& route, const RouteTable& routes, bool isClientRetry,
                                           Random& random)
 {
-    if (isComingBack || random.below (1000) >= rankedFirstPermille)
+    if (isClientRetry || random.below (1000) >= promotedPermille)
         return route.m_priority;
 
     return std::min (route.m_priority, routes.mostUrgentPriority());
 }
 
-EntryAdmission::Bottleneck EntryAdmission::bottleneckOf (const ServiceName& service,
-                                                         const CallGraph::Demand& demand,
-                                                         const PeerTable& peers) noexcept
+EntryAdmission::Bottleneck EntryAdmission::findBottleneck (const ServiceName& service,
+                                                           const CallGraph::Demand& demand,
+                                                           const PeerTable& peers) noexcept
 {
-    Bottleneck result { service, levelOf (service, peers) };
+    Bottleneck result { service, admissionLevelOf (service, peers) };
 
     for (const auto& [callee, count] : demand)
-        if (const auto level = levelOf (callee, peers); level < result.m_level)
+        if (const auto level = admissionLevelOf (callee, peers); level < result.m_level)
             result = { callee, level };
 
     return result;
 }
 
-/** @returns the work that a request asks of the service that is short, over the mean of its priority there */
-double EntryAdmission::heaviness (const Route& route, const ServiceName& service,
-                                  const Bottleneck& bottleneck, const CallGraph::Calls& calls,
-                                  const PeerTable& peers)
+/** @returns the cost of a request at the bottleneck service, relative to the mean cost of its priority there;
+    clamped to [1 / maxRelativeCost, maxRelativeCost] */
+double EntryAdmission::relativeCost (const Route& route, const ServiceName& service,
+                                     const Bottleneck& bottleneck, const CallGraph::Calls& calls,
+                                     const PeerTable& peers)
 {
-    const auto& shortOf = bottleneck.m_service;
-    auto work = shortOf == service ? meanTime (shortOf, route.m_name, peers) : 0.0;
+    const auto& bottleneckService = bottleneck.m_service;
+    auto cost = bottleneckService == service ? meanServiceTime (bottleneckService, route.m_name, peers) : 0.0;
 
-    for (const auto& [callee, times] : calls)
-        if (callee.first == shortOf)
-            work += times * meanTime (shortOf, callee.second, peers);
+    for (const auto& [callee, count] : calls)
+        if (callee.first == bottleneckService)
+            cost += count * meanServiceTime (bottleneckService, callee.second, peers);
 
-    auto& mean = m_meanWork[{ shortOf, route.m_priority }];
-    mean += (work - mean) * (mean > 0.0 ? weightOfNew : 1.0);
-    return mean > 0.0 ? std::clamp (work / mean, 1.0 / largestHeaviness, largestHeaviness) : 1.0;
+    auto& mean = m_meanCosts[{ bottleneckService, route.m_priority }];
+    mean += (cost - mean) * (mean > 0.0 ? costSmoothingFactor : 1.0);
+    return mean > 0.0 ? std::clamp (cost / mean, 1.0 / maxRelativeCost, maxRelativeCost) : 1.0;
 }
 
-double EntryAdmission::levelOf (const ServiceName& service, const PeerTable& peers) noexcept
+double EntryAdmission::admissionLevelOf (const ServiceName& service, const PeerTable& peers) noexcept
 {
     double levels = 0.0;
     double limits = 0.0;
@@ -122,13 +124,13 @@
     return limits > 0.0 ? levels / limits : 1.0;
 }
 
-bool EntryAdmission::isComingBack (const RouteName& route, Duration timeout)
+bool EntryAdmission::isClientRetry (const RouteName& route, Duration timeout)
 {
-    auto& longest = m_longestTimeouts[route];
-    const auto kept = static_cast<double> (longest.count()) * timeoutKept;
-    longest = std::max (timeout, Duration (static_cast<Duration::rep> (kept)));
+    auto& maxTimeout = m_maxTimeouts[route];
+    const auto decayed = static_cast<double> (maxTimeout.count()) * timeoutDecayFactor;
+    maxTimeout = std::max (timeout, Duration (static_cast<Duration::rep> (decayed)));
     return static_cast<double> (timeout.count()) <
-           static_cast<double> (longest.count()) * shareOfFirstAttempt;
+           static_cast<double> (maxTimeout.count()) * firstAttemptTimeoutShare;
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/EntryAdmission.h
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.h
@@ -13,66 +13,71 @@
 
 //==============================================================================
 /**
-    Decides at the entry whether a new request may begin.
+    Admission control for new requests at their entry node.
 
-    A request needs its own service and all that its calls reach. It is admitted only if
-    its place in the order of refusal lies below the level of each of them, so that no
-    work is begun above a service which has no room for it. The place is its route's
-    priority and, within that, a random cohort; one that comes back after a refusal draws
-    from the worse half: under lasting overload as many are refused twice either way, and
-    an answer to a first attempt is worth more than one to a second. Within a priority,
-    requests that ask more than others of the service which is short tend to be refused
-    first, so that its slots serve more callers.
+    A request depends on its own service and on all services that its nested calls reach.
+    It is admitted only if its shed rank is below the admission level of each of them, so
+    that no upstream work is wasted on a request that an overloaded service would reject.
 
-    Part of the lesser requests is ranked with the most urgent ones, here and wherever
-    they go, so that a shortage which these can fill alone leaves something to each kind.
+    The shed rank is a position in [0, 1) of the order in which requests are shed; higher
+    ranks are shed first. It is derived from the priority of the route and, within a
+    priority, from a random cohort. Client retries draw from the upper half of the cohorts,
+    since under sustained overload answering first attempts is worth more. Requests that
+    are expensive for the bottleneck service tend to be shed first, so that its slots serve
+    more callers.
+
+    A share of the requests of lower priorities is promoted to the most urgent priority,
+    for its whole call chain, so that lower priorities are not starved.
 */
 class EntryAdmission
 {
 public:
     //==============================================================================
-    /** Why a request may not begin. */
+    /** Why a request was not admitted. */
     struct Refusal
     {
-        ServiceName m_service; /**< that has no room for it */
-        double m_place = 0.0;
-        double m_level = 0.0;
+        ServiceName m_service;   /**< the overloaded service */
+        double m_shedRank = 0.0; /**< of the request, in [0, 1) */
+        double m_level = 0.0;    /**< admission level of the service, in [0, 1] */
     };
 
-    /** How a request is ranked, and whether it may begin. */
-    struct Verdict
+    /** Whether a request is admitted, and its effective priority. */
+    struct AdmissionDecision
     {
-        std::optional<Refusal> m_refusal; /**< nullopt: the request may begin */
-        std::uint32_t m_priority = 0;     /**< by which it is ranked: its route's, or a more urgent one */
+        std::optional<Refusal> m_refusal; /**< nullopt if the request is admitted */
+        std::uint32_t m_priority = 0;     /**< the priority of its route, or a more urgent one */
     };
 
-    /** @param timeout   how long the sender of the request waits */
-    Verdict judge (const Route& route, const ServiceName& service, Duration timeout, const RouteTable& routes,
-                   const PeerTable& peers, CallGraph& calls, Random& random);
+    /** @param timeout   the timeout that the caller set for this attempt */
+    AdmissionDecision decide (const Route& route, const ServiceName& service, Duration timeout,
+                              const RouteTable& routes, const PeerTable& peers, CallGraph& calls,
+                              Random& random);
 
-    /** @returns the mean level of a service's open gates, each by its size; 1 where none is known */
-    static double levelOf (const ServiceName& service, const PeerTable& peers) noexcept;
+    /** @returns the mean admission level of the open gates of a service, weighted by their concurrency
+                 limits; 1 if no gate is known
+    */
+    static double admissionLevelOf (const ServiceName& service, const PeerTable& peers) noexcept;
 
 private:
     //==============================================================================
-    /** The service without whose work a request can't be done, and that admits least. */
+    /** Of the services that a request depends on, the one with the lowest admission level. */
     struct Bottleneck
     {
         ServiceName m_service;
         double m_level = 1.0;
     };
 
-    static Bottleneck bottleneckOf (const ServiceName& service, const CallGraph::Demand& demand,
-                                    const PeerTable& peers) noexcept;
-    double heaviness (const Route& route, const ServiceName& service, const Bottleneck& bottleneck,
-                      const CallGraph::Calls& calls, const PeerTable& peers);
-    static std::uint32_t priorityOf (const Route& route, const RouteTable& routes, bool isComingBack,
+    static Bottleneck findBottleneck (const ServiceName& service, const CallGraph::Demand& demand,
+                                      const PeerTable& peers) noexcept;
+    double relativeCost (const Route& route, const ServiceName& service, const Bottleneck& bottleneck,
+                         const CallGraph::Calls& calls, const PeerTable& peers);
+    static std::uint32_t priorityOf (const Route& route, const RouteTable& routes, bool isClientRetry,
                                      Random& random);
-    bool isComingBack (const RouteName& route, Duration timeout);
+    bool isClientRetry (const RouteName& route, Duration timeout);
 
-    std::map<std::pair<ServiceName, std::uint32_t>, double> m_meanWork; /**< at a service, of the requests of
-                                                                           one priority; microseconds */
-    std::map<RouteName, Duration> m_longestTimeouts; /**< that senders of a route's requests gave lately */
+    /** Mean request cost by service and priority, in microseconds. */
+    std::map<std::pair<ServiceName, std::uint32_t>, double> m_meanCosts;
+    std::map<RouteName, Duration> m_maxTimeouts; /**< decaying maximum of the timeouts set by callers */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/EntryLog.cpp
+++ b/modules/plankledge_policy/relay/entry/EntryLog.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-std::string triedBy (const EntryRequest& request)
+std::string joinTried (const EntryRequest& request)
 {
     return fmt::format ("{}", fmt::join (request.m_tried, ","));
 }
@@ -26,14 +26,14 @@
                { "version", number (version) } } };
 }
 
-LogDecision logNoRoom (const EntryRequest& request, const EntryAdmission::Refusal& refusal,
-                       ConfigurationVersion version)
+LogDecision logOverloadedDownstream (const EntryRequest& request, const EntryAdmission::Refusal& refusal,
+                                     ConfigurationVersion version)
 {
     return { Decision::requestRefused,
              request.m_content.m_id,
              { { "reason", "no-room" },
                { "service", refusal.m_service },
-               { "place", fmt::format ("{:.3f}", refusal.m_place) },
+               { "place", fmt::format ("{:.3f}", refusal.m_shedRank) },
                { "level", fmt::format ("{:.3f}", refusal.m_level) },
                { "route", request.m_route.m_name },
                { "version", number (version) } } };
@@ -53,11 +53,11 @@
                { "time_left_ms", milliseconds (request.m_deadline - now) } } };
 }
 
-LogDecision logSentAgain (const EntryRequest& request, Reason reason)
+LogDecision logRetry (const EntryRequest& request, Reason reason)
 {
     return { Decision::requestSentAgain,
              request.m_content.m_id,
-             { { "reason", std::string (nameOf (reason)) }, { "arrivals", number (request.m_arrivals) } } };
+             { { "reason", std::string (nameOf (reason)) }, { "arrivals", number (request.m_attempts) } } };
 }
 
 LogDecision logCancelled (const EntryRequest& request, Time now)
@@ -76,9 +76,9 @@
                { "route", request.m_route.m_name },
                { "service", request.m_service },
                { "organisation", request.m_organisation },
-               { "arrivals", number (request.m_arrivals) },
+               { "arrivals", number (request.m_attempts) },
                { "nested", request.m_isNested ? "yes" : "no" },
-               { "tried", triedBy (request) },
+               { "tried", joinTried (request) },
                { "waited_ms", milliseconds (now - request.m_receivedAt) },
                { "time_left_ms", milliseconds (request.m_deadline - now) } } };
 }
@@ -89,7 +89,7 @@
              request.m_content.m_id,
              { { "status", number (status) },
                { "route", request.m_route.m_name },
-               { "tried", triedBy (request) },
+               { "tried", joinTried (request) },
                { "took_ms", milliseconds (now - request.m_receivedAt) } } };
 }
 
--- a/modules/plankledge_policy/relay/entry/EntryLog.h
+++ b/modules/plankledge_policy/relay/entry/EntryLog.h
@@ -4,15 +4,15 @@
 #include "plankledge_policy/relay/entry/EntryAdmission.h"
 #include "plankledge_policy/relay/entry/EntryRequest.h"
 
-/** The log's lines about requests at their entry: each decision with the inputs that decided it. */
+/** Decision log records about requests at their entry node, each with the inputs of the decision. */
 namespace plankledge::detail
 {
 
 LogDecision logRefusal (const RelayRequestReceived& received, Reason reason, ConfigurationVersion version);
-LogDecision logNoRoom (const EntryRequest& request, const EntryAdmission::Refusal& refusal,
-                       ConfigurationVersion version);
+LogDecision logOverloadedDownstream (const EntryRequest& request, const EntryAdmission::Refusal& refusal,
+                                     ConfigurationVersion version);
 LogDecision logSent (const EntryRequest& request, const Peer& peer, ConfigurationVersion version, Time now);
-LogDecision logSentAgain (const EntryRequest& request, Reason reason);
+LogDecision logRetry (const EntryRequest& request, Reason reason);
 LogDecision logCancelled (const EntryRequest& request, Time now);
 LogDecision logGivenUp (const EntryRequest& request, Outcome outcome, Reason reason, Time now);
 LogDecision logAnswered (const EntryRequest& request, std::uint16_t status, Time now);
--- a/modules/plankledge_policy/relay/entry/EntryRequest.h
+++ b/modules/plankledge_policy/relay/entry/EntryRequest.h
@@ -9,33 +9,33 @@
 namespace plankledge::detail
 {
 
-/** A request at its entry, from its arrival to its answer. */
+/** The state of a request at its entry node, from its arrival to its answer. */
 struct EntryRequest
 {
     Ticket m_ticket = 0;
     RelayContent m_content;
     Route m_route;
     ServiceName m_service;
-    OrganisationName m_organisation;        /**< that it is sent for; empty: it needs no key */
-    ContentDigest m_digest = 0;             /**< of what it asks */
-    std::optional<Time> m_keyHoldsUntil {}; /**< it may not be sent on later; nullopt: no such bound */
-    bool m_isJudged = true; /**< false: whether it is within its organisation's limit is asked */
+    OrganisationName m_organisation;        /**< the owner of its API key; empty if it needs no key */
+    ContentDigest m_digest = 0;             /**< of its content */
+    std::optional<Time> m_keyHoldsUntil {}; /**< it is not sent to a target later; nullopt: no bound */
+    bool m_isLimitChecked = true; /**< false while the check of its organisation's limit is pending */
     bool m_isNested = false;
-    std::uint32_t m_callsDone = 0; /**< earlier calls of the request that it is a call of, that ended well */
-    std::uint16_t m_urgency = 0;   /**< its route's priority; a call has that of the request it is for */
+    std::uint32_t m_callsDone = 0; /**< successful earlier calls of its parent request */
+    std::uint16_t m_urgency = 0;   /**< effective priority; nested calls inherit it from their parent */
     Time m_receivedAt;
-    Time m_chainStartedAt; /**< when the request at the head of its chain came to its entry */
+    Time m_chainStartedAt; /**< when the root request of its call chain arrived */
     Time m_deadline;
-    Time m_holdEnd;
-    Duration m_longestToBegin {}; /**< that it waits for a slot where nothing of its chain has run yet */
-    std::set<InstanceName> m_tried;
-    std::uint32_t m_arrivals = 0;     /**< sendings that may have reached a target */
-    std::set<InstanceName> m_reached; /**< whose targets they may have reached */
-    bool m_isOfRepeat = false;        /**< a call of a run that was itself a retry */
-    bool m_mayHaveRun = false;        /**< a sending ended without anyone's word that it did not run */
-    InstanceName m_instance;          /**< where it is now; empty: nowhere */
-    CallId m_call = 0;
-    bool m_isHeld = false;
+    Time m_holdEnd;               /**< end of the time that it may wait for a slot, here and at gates */
+    Duration m_longestToBegin {}; /**< maximum queueing time at a target where nothing of its chain has run */
+    std::set<InstanceName> m_tried;    /**< excluded from target selection */
+    std::uint32_t m_attempts = 0;      /**< attempts that may have reached a target */
+    std::set<InstanceName> m_reached;  /**< instances whose targets these attempts may have reached */
+    bool m_hasRetriedAncestor = false; /**< its parent request, or one further up, was itself a retry */
+    bool m_mayHaveRun = false;         /**< an attempt ended without confirmation that it did not run */
+    InstanceName m_instance;           /**< that holds the current attempt; empty if there is none */
+    CallId m_call = 0;                 /**< of the current attempt; 0 if there is none */
+    bool m_isQueued = false;           /**< waits for a target at the entry node */
     Reason m_lastReason = Reason::noReachableInstance;
 };
 
--- a/modules/plankledge_policy/relay/entry/RelayEntry.h
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.h
@@ -21,22 +21,23 @@
 
 //==============================================================================
 /**
-    Takes requests from the callers of this instance and from its target, and brings each
-    to a target and its answer back.
+    The entry node's part of a request: accepts requests from the callers of this instance
+    and from its target, forwards each to a target and returns the answer.
 
-    A refusal of a gate that is shut costs nothing and leads to the next one; a full gate's ends the request,
-    since it was the one with the shortest wait. A second sending that may
-    reach a target needs a token, and is made only if the first is known not to have run or
-    the request may be repeated. A request that is given up on is answered at once.
+    If the gate of the selected target is shut, the request is redirected to another target
+    at no cost. If the gate is overloaded, the request fails, since the selected target had
+    the shortest expected wait. Retries that may reach a target are limited by a
+    RetryPolicy, and are made only if the earlier attempts are known not to have run or the
+    route is repeatable. Requests that fail are answered at once.
 
-    @see TargetGate
+    @see TargetGate, EntryAdmission, RetryPolicy
 */
 class RelayEntry
 {
 public:
     //==============================================================================
-    /** What the entry works with; all outlive it. */
-    struct Parts
+    /** Other parts of the node; all must outlive the RelayEntry. */
+    struct Dependencies
     {
         const RouteFollower& m_routes;
         PeerTable& m_peers;
@@ -45,10 +46,12 @@
         const KeyGuard& m_keys;
         OrganisationLimits& m_limits;
         const CrashGuard& m_crashes;
-        std::function<void (const ServiceName&)> m_need; /**< a request needs a service: contact is kept */
+
+        /** Keeps in contact with the nodes of a service. */
+        std::function<void (const ServiceName&)> m_trackService;
     };
 
-    RelayEntry (const RelaySettings& settings, const Member& self, Parts parts);
+    RelayEntry (const RelaySettings& settings, const Member& self, Dependencies dependencies);
 
     //==============================================================================
     void receive (Turn& turn, const RelayRequestReceived& received);
@@ -57,27 +60,27 @@
     /** @param from   the instance that answered, this one included */
     void onAnswer (Turn& turn, const InstanceName& from, const RelayAnswer& answer);
 
-    /** No connection came up: these calls never left this node. */
+    /** No connection could be established: these calls were not sent. */
     void onPeerUnreachable (Turn& turn, const InstanceName& instance, const std::vector<CallId>& calls);
 
-    /** The peer does not answer: what may be repeated is sent elsewhere. */
+    /** The peer stopped answering: retries its requests elsewhere where their routes are repeatable. */
     void onPeerSilent (Turn& turn, const InstanceName& instance);
 
-    /** What was sent to the peer may have arrived. */
+    /** The peer was lost: requests sent there may have run. */
     void onPeerLost (Turn& turn, const InstanceName& instance);
 
     void onDeadline (Turn& turn, CallId id);
     void onHoldEnd (Turn& turn, CallId id);
 
-    /** Tries again what waits for a target. */
+    /** Tries to send the queued requests. */
     void retryHeld (Turn& turn);
 
-    /** Whether a request is within its organisation's limit is known now. */
+    /** The check of a request against its organisation's limit has finished. */
     void onJudged (Turn& turn, CallId id, const OrganisationLimits::Judgement& judgement);
 
     void onPause (Time now) noexcept;
 
-    /** The process is to end: connections are not kept. */
+    /** Starts the shutdown: answers close their connections, and new requests are soon refused. */
     void stop (Time now) noexcept { m_stoppedAt = now; }
 
     bool isIdle() const noexcept { return m_requests.empty(); }
@@ -92,36 +95,39 @@
     Request makeRequest (Turn& turn, const RelayRequestReceived& received, const Route& route,
                          const Organisation* organisation);
     void joinChain (Request& request, const TargetGate::Running& running);
-    void begin (Turn& turn, CallId id);
+    void startLimitCheck (Turn& turn, CallId id);
     bool admit (Turn& turn, Request& request, Duration timeout);
-    void needServicesOf (const Request& request);
+    void trackServicesOf (const Request& request);
 
     std::vector<CallId> requestsAt (const InstanceName& instance) const;
     void send (Turn& turn, CallId id);
-    const Peer* choose (Turn& turn, const Request& request, Standing standing) const;
+    const Peer* selectPeer (Turn& turn, const Request& request, Standing standing) const;
     void sendTo (Turn& turn, CallId id, const Peer& peer);
-    void hold (Turn& turn, CallId id);
-    void detach (Request& request);
-    void withdraw (Turn& turn, Request& request);
-    void onNotAnswered (Turn& turn, CallId id, const RelayResult& result);
+    void enqueue (Turn& turn, CallId id);
+    void clearAttempt (Request& request);
+    void cancelAttempt (Turn& turn, Request& request);
+    void onAttemptFailed (Turn& turn, CallId id, const RelayResult& result);
+
+    /** Ends a request without an answer of its target.
 
-    /** @param comeBack   when the sender is to ask again; zero: by the time that it waits */
-    void giveUp (Turn& turn, CallId id, Reason reason, Duration comeBack = {});
+        @param retryAfter   delay until the caller may retry; zero: derived from its remaining time
+    */
+    void giveUp (Turn& turn, CallId id, Reason reason, Duration retryAfter = {});
 
     void finish (Turn& turn, CallId id, RelayResult result);
-    Duration comeBackAfter (Turn& turn, Duration timeLeft) const;
+    Duration suggestRetryAfter (Turn& turn, Duration timeLeft) const;
     bool isStopping() const noexcept { return m_stoppedAt.has_value(); }
 
     const Member m_self;
-    Parts m_parts;
+    Dependencies m_dependencies;
     EntryAdmission m_admission;
     RetryPolicy m_retries;
     std::map<CallId, Request> m_requests;
-    std::map<Ticket, CallId> m_byTicket;
-    std::map<CallId, CallId> m_byCall; /**< a sending's id to its request's */
-    std::set<CallId> m_held;
-    WeightedServiceSelector m_shares;
-    CallId m_next = 1;
+    std::map<Ticket, CallId> m_requestsByTicket;
+    std::map<CallId, CallId> m_requestsByAttempt; /**< from the id of the current attempt */
+    std::set<CallId> m_queuedRequests;
+    WeightedServiceSelector m_serviceSelector;
+    CallId m_nextId = 1;
     Time m_staleUntil;
     std::optional<Time> m_stoppedAt;
 };
--- a/modules/plankledge_policy/relay/entry/RelayRetryThrottle.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayRetryThrottle.cpp
@@ -9,22 +9,23 @@
 namespace
 {
 
-/** The part of the bound that a node uses for requests that make no calls. The rest is for nodes that died
-   and have spent, for windows that cut a slot in two, and for calls whose chain can't be seen. */
-constexpr double margin = 0.8;
+/** Fraction of the limit that a node uses for requests without nested calls. The rest covers crashed nodes
+    that have used their share, windows whose bounds cut an interval, and calls without a chain id. */
+constexpr double budgetShare = 0.8;
 
-/** The same for requests that make calls: their second runs repeat the calls at every service below, and
-   several depths of a chain add up there. */
-constexpr double marginWithCalls = 0.5;
+/** The same for requests with nested calls: a retry repeats them at every downstream service, and the retries
+   of several depths of a chain add up there. */
+constexpr double budgetShareWithCalls = 0.5;
 
-/** The part of the slack that is used. */
-constexpr double slackMargin = 0.5;
+/** Fraction of the slack that is used. */
+constexpr double slackShare = 0.5;
 
-/** What is left is spent within this part of the window: trouble is often shorter than a window. */
-constexpr double partOfWindow = 0.5;
+/** The remaining retries may be used within this fraction of the window, since outages are often shorter than
+   a window. */
+constexpr double spendPeriodShare = 0.5;
 
-/** Wishes are counted over about this time. */
-constexpr double wishSeconds = 1.0;
+/** Time constant of the decay of the wanted retry rates, in seconds. */
+constexpr double wantedDecaySeconds = 1.0;
 
 double inSeconds (Duration duration) noexcept
 {
@@ -36,109 +37,109 @@
 //==============================================================================
 RelayRetryThrottle::RelayRetryThrottle (const RelaySettings& settings)
     : m_settings (settings)
-    , m_slotTime (std::max (Duration (1), settings.m_retryWindow / static_cast<int> (slotCount)))
+    , m_intervalLength (std::max (Duration (1), settings.m_retryWindow / static_cast<int> (intervalCount)))
 {
 }
 
-std::int64_t RelayRetryThrottle::numberOf (Time now) const noexcept
+std::int64_t RelayRetryThrottle::intervalNumber (Time now) const noexcept
 {
-    return now.time_since_epoch() / m_slotTime;
+    return now.time_since_epoch() / m_intervalLength;
 }
 
-RelayRetryThrottle::Slot& RelayRetryThrottle::slotOf (const ServiceName& service, Time now)
+RelayRetryThrottle::WindowInterval& RelayRetryThrottle::currentInterval (const ServiceName& service, Time now)
 {
-    const auto number = numberOf (now);
-    auto& slot = m_buckets[service].m_slots[static_cast<std::size_t> (number) % slotCount];
+    const auto number = intervalNumber (now);
+    auto& interval = m_windows[service].m_intervals[static_cast<std::size_t> (number) % intervalCount];
 
-    if (slot.m_number != number)
-        slot = { number, 0.0, 0.0 };
+    if (interval.m_number != number)
+        interval = { number, 0.0, 0.0 };
 
-    return slot;
+    return interval;
 }
 
-RelayRetryThrottle::Sum RelayRetryThrottle::sumOf (const Bucket& bucket, Time now) const noexcept
+RelayRetryThrottle::Totals RelayRetryThrottle::totalsOf (const ServiceWindow& window, Time now) const noexcept
 {
-    const auto oldest = numberOf (now) - static_cast<std::int64_t> (slotCount) + 1;
-    Sum sum;
+    const auto oldest = intervalNumber (now) - static_cast<std::int64_t> (intervalCount) + 1;
+    Totals totals;
 
-    for (const auto& slot : bucket.m_slots)
+    for (const auto& interval : window.m_intervals)
     {
-        if (slot.m_number < oldest)
+        if (interval.m_number < oldest)
             continue;
 
-        sum.m_requests += slot.m_requests;
-        sum.m_spent += slot.m_spent;
+        totals.m_requests += interval.m_requests;
+        totals.m_spent += interval.m_spent;
     }
 
-    return sum;
+    return totals;
 }
 
 void RelayRetryThrottle::onRequest (const ServiceName& service, Time now)
 {
-    slotOf (service, now).m_requests += 1.0;
+    currentInterval (service, now).m_requests += 1.0;
 }
 
 void RelayRetryThrottle::charge (const ServiceName& service, Time now)
 {
-    slotOf (service, now).m_spent += 1.0;
+    currentInterval (service, now).m_spent += 1.0;
 }
 
 //==============================================================================
-bool RelayRetryThrottle::take (const ServiceName& service, const std::map<ServiceName, double>& demand,
-                               double place, Time now)
+bool RelayRetryThrottle::tryAcquire (const ServiceName& service, const std::map<ServiceName, double>& demand,
+                                     double shedRank, Time now)
 {
-    auto& slot = slotOf (service, now);
-    auto& bucket = m_buckets[service];
-    const auto sum = sumOf (bucket, now);
+    auto& interval = currentInterval (service, now);
+    auto& window = m_windows[service];
+    const auto totals = totalsOf (window, now);
 
-    if (sum.m_requests <= 0.0)
+    if (totals.m_requests <= 0.0)
         return false;
 
-    // A second run repeats its calls: it counts at each service below as well.
+    // A retry repeats its nested calls and counts as a retry at each downstream service as well.
     const auto cost = 1.0 + static_cast<double> (demand.size());
-    const auto ratio = m_settings.m_retryRatio * (demand.empty() ? margin : marginWithCalls);
+    const auto ratio = m_settings.m_retryRatio * (demand.empty() ? budgetShare : budgetShareWithCalls);
     const auto slack =
-        m_settings.m_retrySlack * slackMargin / static_cast<double> (std::max<std::size_t> (1, m_nodes));
-    const auto left = sum.m_requests * ratio + slack - sum.m_spent;
-    wish (bucket, place, cost, now);
+        m_settings.m_retrySlack * slackShare / static_cast<double> (std::max<std::size_t> (1, m_nodeCount));
+    const auto remaining = totals.m_requests * ratio + slack - totals.m_spent;
+    recordWanted (window, shedRank, cost, now);
 
-    if (left < cost)
+    if (remaining < cost)
         return false;
 
-    const auto rate = left / (inSeconds (m_settings.m_retryWindow) * partOfWindow);
+    const auto rate = remaining / (inSeconds (m_settings.m_retryWindow) * spendPeriodShare);
 
-    if (place >= levelOf (bucket, rate))
+    if (shedRank >= cutoffRank (window, rate))
         return false;
 
-    slot.m_spent += cost;
+    interval.m_spent += cost;
     return true;
 }
 
-void RelayRetryThrottle::wish (Bucket& bucket, double place, double cost, Time now) noexcept
+void RelayRetryThrottle::recordWanted (ServiceWindow& window, double shedRank, double cost, Time now) noexcept
 {
-    const auto kept = std::exp (-inSeconds (now - bucket.m_wishedAt) / wishSeconds);
-    bucket.m_wishedAt = now;
+    const auto decay = std::exp (-inSeconds (now - window.m_wantedUpdatedAt) / wantedDecaySeconds);
+    window.m_wantedUpdatedAt = now;
 
-    for (auto& wishes : bucket.m_wishes)
-        wishes *= kept;
+    for (auto& wantedRate : window.m_wantedRates)
+        wantedRate *= decay;
 
-    const auto bin = static_cast<std::size_t> (std::clamp (place, 0.0, 1.0) * binCount);
-    bucket.m_wishes[std::min (bin, binCount - 1)] += cost / wishSeconds;
+    const auto bin = static_cast<std::size_t> (std::clamp (shedRank, 0.0, 1.0) * rankBinCount);
+    window.m_wantedRates[std::min (bin, rankBinCount - 1)] += cost / wantedDecaySeconds;
 }
 
-/** @returns up to which place the wishes together stay under the rate */
-double RelayRetryThrottle::levelOf (const Bucket& bucket, double rate) noexcept
+/** @returns the shed rank below which the wanted retries together stay within the rate */
+double RelayRetryThrottle::cutoffRank (const ServiceWindow& window, double rate) noexcept
 {
-    double wished = 0.0;
+    double totalWanted = 0.0;
 
-    for (std::size_t bin = 0; bin < binCount; ++bin)
+    for (std::size_t bin = 0; bin < rankBinCount; ++bin)
     {
-        const auto wishes = bucket.m_wishes[bin];
+        const auto wantedRate = window.m_wantedRates[bin];
 
-        if (wished + wishes > rate)
-            return (static_cast<double> (bin) + (rate - wished) / wishes) / binCount;
+        if (totalWanted + wantedRate > rate)
+            return (static_cast<double> (bin) + (rate - totalWanted) / wantedRate) / rankBinCount;
 
-        wished += wishes;
+        totalWanted += wantedRate;
     }
 
     return 1.0;
--- a/modules/plankledge_policy/relay/entry/RelayRetryThrottle.h
+++ b/modules/plankledge_policy/relay/entry/RelayRetryThrottle.h
@@ -12,18 +12,18 @@
 
 //==============================================================================
 /**
-    Bounds the requests that this node sends to a target for a second time, for each service.
+    Limits the retries that this node sends to targets, for each service.
 
-    All nodes share one bound: a ratio of the requests for the service in a window, plus a
-    slack. Each node uses a ratio of the requests that it sent there itself and an equal part
-    of the slack, both with a margin, so that the sum stays under the bound without any
-    agreement. A node that starts has nothing until it has sent requests.
+    All nodes share one limit: a ratio of the requests for the service in a sliding window,
+    plus a slack. Each node uses the ratio of the requests that it sent itself and an equal
+    share of the slack, both reduced by a margin, so that the total stays within the limit
+    without coordination. A node that has not sent requests yet has no retries.
 
-    Where more is wanted than there is, it goes to whole requests: those whose chain comes
-    first in the order of refusal get all the retries they want, and the others none. A few
-    retries for each of many chains would save none of them.
+    If more retries are wanted than available, they are granted by shed rank: chains below a
+    cutoff get all their retries and the others none, since a few retries for each of many
+    chains would let none of them finish.
 
-    Units: requests that reach a target beyond their first.
+    Units: attempts that reach a target, after the first one of each request.
 */
 class RelayRetryThrottle
 {
@@ -31,59 +31,62 @@
     //==============================================================================
     explicit RelayRetryThrottle (const RelaySettings& settings);
 
-    /** A request is about to be sent to the service for the first time. */
+    /** Must be called before the first attempt of each request for the service. */
     void onRequest (const ServiceName& service, Time now);
 
-    /** The number of nodes that share the bound, this one included. */
-    void setNodes (std::size_t nodes) noexcept { m_nodes = nodes; }
+    /** Sets the number of nodes that share the limit, this one included. */
+    void setNodeCount (std::size_t nodeCount) noexcept { m_nodeCount = nodeCount; }
 
-    /** A call of a run that was itself a retry counts as one, whether there was room for it or not. */
+    /** Counts a nested call of a retried request as a retry, whether or not the limit allows one. */
     void charge (const ServiceName& service, Time now);
 
-    /** Takes what one more sending costs, at the service and at those it will call, or nothing.
+    /** Acquires the cost of one retry, at its service and at the services that it will call, or nothing.
 
-        @param demand   calls that the sending leads to, by service
-        @param place    of the chain in the order of refusal, in [0, 1); 0 is the most important
-        @returns whether all of it was there
+        @param demand     number of nested calls that the retry leads to, by service
+        @param shedRank   of the call chain, in [0, 1); higher ranks are shed first
+        @returns whether the retry may be sent
     */
-    bool take (const ServiceName& service, const std::map<ServiceName, double>& demand, double place,
-               Time now);
+    bool tryAcquire (const ServiceName& service, const std::map<ServiceName, double>& demand, double shedRank,
+                     Time now);
 
 private:
     //==============================================================================
-    static constexpr std::size_t slotCount = 20; /**< of a window */
-    static constexpr std::size_t binCount = 200; /**< of the order of refusal; several for each priority */
+    static constexpr std::size_t intervalCount = 20; /**< in a window */
+    static constexpr std::size_t rankBinCount = 200; /**< in [0, 1); several for each priority */
 
-    struct Slot
+    struct WindowInterval
     {
-        std::int64_t m_number = -1; /**< since the clock's start; others are of an older window */
+        std::int64_t m_number = -1; /**< since the epoch of the clock; older ones are out of the window */
         double m_requests = 0.0;
         double m_spent = 0.0;
     };
 
-    struct Bucket
+    struct ServiceWindow
     {
-        std::array<Slot, slotCount> m_slots;
-        std::array<double, binCount> m_wishes {}; /**< a second, by place; decaying */
-        Time m_wishedAt;
+        std::array<WindowInterval, intervalCount> m_intervals;
+
+        /** Retries per second by shed rank, as a decaying average. */
+        std::array<double, rankBinCount> m_wantedRates {};
+
+        Time m_wantedUpdatedAt;
     };
 
-    struct Sum
+    struct Totals
     {
         double m_requests = 0.0;
         double m_spent = 0.0;
     };
 
-    Slot& slotOf (const ServiceName& service, Time now);
-    std::int64_t numberOf (Time now) const noexcept;
-    Sum sumOf (const Bucket& bucket, Time now) const noexcept;
-    static void wish (Bucket& bucket, double place, double cost, Time now) noexcept;
-    static double levelOf (const Bucket& bucket, double rate) noexcept;
+    WindowInterval& currentInterval (const ServiceName& service, Time now);
+    std::int64_t intervalNumber (Time now) const noexcept;
+    Totals totalsOf (const ServiceWindow& window, Time now) const noexcept;
+    static void recordWanted (ServiceWindow& window, double shedRank, double cost, Time now) noexcept;
+    static double cutoffRank (const ServiceWindow& window, double rate) noexcept;
 
     const RelaySettings m_settings;
-    const Duration m_slotTime;
-    std::size_t m_nodes = 1;
-    std::map<ServiceName, Bucket> m_buckets;
+    const Duration m_intervalLength;
+    std::size_t m_nodeCount = 1;
+    std::map<ServiceName, ServiceWindow> m_windows;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
@@ -9,53 +9,53 @@
 namespace
 {
 
-/** Below this a second sending is not worth it: no target would end it in time. */
-constexpr Duration leastTimeForRetry = Milliseconds (30);
+/** Requests with less time left are not retried, since no target could answer in time. */
+constexpr Duration minTimeForRetry = Milliseconds (30);
 
-/** Sendings of a request that targets reject, each paid for by the shared bound on retries: where targets
-   reject half of what comes, fewer than one in a hundred is left after eight. */
-constexpr std::uint32_t mostSendings = 8;
+/** Maximum number of attempts of a request that targets reject. With a rejection rate of one half, fewer than
+    one request in a hundred fails after this many attempts. */
+constexpr std::uint32_t maxAttemptsIfRejected = 8;
 
 } // namespace
 
 //==============================================================================
-RetryPolicy::RetryPolicy (const RelaySettings& settings, Parts parts)
-    : m_parts (parts)
-    , m_tokens (settings)
+RetryPolicy::RetryPolicy (const RelaySettings& settings, Dependencies dependencies)
+    : m_dependencies (dependencies)
+    , m_throttle (settings)
 {
 }
 
 void RetryPolicy::onRequest (const detail::EntryRequest& request, Time now)
 {
-    m_tokens.setNodes (m_parts.m_peers.size());
-    m_tokens.onRequest (request.m_service, now);
+    m_throttle.setNodeCount (m_dependencies.m_peers.size());
+    m_throttle.onRequest (request.m_service, now);
 
-    if (request.m_isOfRepeat)
-        m_tokens.charge (request.m_service, now);
+    if (request.m_hasRetriedAncestor)
+        m_throttle.charge (request.m_service, now);
 }
 
-bool RetryPolicy::mayBeSentAgain (Turn& turn, const detail::EntryRequest& request, const RelayResult& result)
+bool RetryPolicy::mayRetryAttempt (Turn& turn, const detail::EntryRequest& request, const RelayResult& result)
 {
-    const auto denied = [&] (RetryDenied why) {
+    const auto deny = [&] (RetryDenied why) {
         ++turn.counters().m_retriesDenied[why];
         return false;
     };
 
     if (result.m_outcome == Outcome::unknown && ! request.m_route.m_isRepeatable)
-        return denied (RetryDenied::notRepeatable);
+        return deny (RetryDenied::notRepeatable);
 
     const bool didNotRun = result.m_reason == Reason::targetShed && ! request.m_mayHaveRun;
-    const auto most = didNotRun ? mostSendings : request.m_route.m_mostAttempts;
+    const auto maxAttempts = didNotRun ? maxAttemptsIfRejected : request.m_route.m_mostAttempts;
 
-    if (request.m_arrivals >= most || request.m_reached.size() > request.m_route.m_mostAttempts)
-        return denied (RetryDenied::budgetSpent);
+    if (request.m_attempts >= maxAttempts || request.m_reached.size() > request.m_route.m_mostAttempts)
+        return deny (RetryDenied::budgetSpent);
 
-    if (request.m_deadline - turn.now() < leastTimeForRetry)
-        return denied (RetryDenied::noTime);
+    if (request.m_deadline - turn.now() < minTimeForRetry)
+        return deny (RetryDenied::noTime);
 
-    const auto& demand = m_parts.m_calls.demandOf (request.m_route.m_name);
-    return m_tokens.take (request.m_service, demand, placeOf (request), turn.now()) ||
-           denied (RetryDenied::throttled);
+    const auto& demand = m_dependencies.m_calls.demandOf (request.m_route.m_name);
+    return m_throttle.tryAcquire (request.m_service, demand, shedRankOf (request), turn.now()) ||
+           deny (RetryDenied::throttled);
 }
 
 void RetryPolicy::limitTargets (detail::EntryRequest& request) const
@@ -65,24 +65,24 @@
 
     request.m_tried.clear();
 
-    for (const auto* peer : m_parts.m_peers.ofService (request.m_service))
+    for (const auto* peer : m_dependencies.m_peers.ofService (request.m_service))
         if (! request.m_reached.contains (peer->m_member.m_id.m_instance))
             request.m_tried.insert (peer->m_member.m_id.m_instance);
 }
 
-/** @returns the place of the request's chain in the order of refusal, the same at every node that sees its
-    id; calls that show no chain have a place of their own. Within a priority the chains that have most calls
-    behind them come first: what these took is lost without the next one, and they need the fewest retries to
-    be whole. */
-double RetryPolicy::placeOf (const detail::EntryRequest& request) const
+/** @returns the shed rank of the call chain of a request, in [0, 1), which is the same at every node that
+    sees the chain's id. Calls without a chain id have a rank of their own. Within a priority, the chains
+    with the most completed calls have the lowest ranks: they have the most work to lose and need the fewest
+    retries to finish. */
+double RetryPolicy::shedRankOf (const detail::EntryRequest& request) const
 {
     constexpr std::uint64_t cohorts = 1000;
-    const auto& routes = m_parts.m_routes.table();
+    const auto& routes = m_dependencies.m_routes.table();
     const auto cohort = static_cast<double> (hashText (rootOf (request.m_content.m_id)) % cohorts) / cohorts;
-    const auto done = static_cast<double> (request.m_callsDone);
-    const auto first = 1.0 / (done + 2.0);
-    const auto share = first + cohort * (1.0 / (done + 1.0) - first);
-    return routes.placeOfPriority (request.m_urgency) + share * routes.widthOfPriority();
+    const auto callsDone = static_cast<double> (request.m_callsDone);
+    const auto lowest = 1.0 / (callsDone + 2.0);
+    const auto rankInPriority = lowest + cohort * (1.0 / (callsDone + 1.0) - lowest);
+    return routes.placeOfPriority (request.m_urgency) + rankInPriority * routes.widthOfPriority();
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.h
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.h
@@ -12,12 +12,12 @@
 
 //==============================================================================
 /**
-    Decides whether a request that came back without an answer may be sent to a target once
-    more, and to which ones.
+    Decides whether a request whose attempt failed may be retried, and at which targets.
 
-    What may have run is sent again only if it may be repeated, and to no more targets than
-    its route allows. What a target rejected did not run: it may go to the same targets
-    several times. Every sending beyond the first is paid for.
+    A request that may have run is retried only if its route is repeatable, and at no more
+    targets than its route allows. A request that targets rejected did not run: it may be
+    sent to the same targets several times. Every attempt after the first is charged to the
+    retry throttle.
 
     @see RelayRetryThrottle
 */
@@ -25,37 +25,37 @@
 {
 public:
     //==============================================================================
-    /** What the policy looks at; all outlive it. */
-    struct Parts
+    /** Other parts of the node; all must outlive the RetryPolicy. */
+    struct Dependencies
     {
         const RouteFollower& m_routes;
         const PeerTable& m_peers;
         CallGraph& m_calls;
     };
 
-    RetryPolicy (const RelaySettings& settings, Parts parts);
+    RetryPolicy (const RelaySettings& settings, Dependencies dependencies);
 
-    /** A request is about to be sent for the first time. */
+    /** Must be called before the first attempt of each request. */
     void onRequest (const detail::EntryRequest& request, Time now);
 
-    /** Pays for one more sending, or counts why there is none.
+    /** Charges a retry to the throttle, or counts why it was denied.
 
-        @param result   what the last one ended with
+        @param result   result of the last attempt
 
-        @returns whether the request may be sent again
+        @returns whether the request may be retried
     */
-    bool mayBeSentAgain (Turn& turn, const detail::EntryRequest& request, const RelayResult& result);
+    bool mayRetryAttempt (Turn& turn, const detail::EntryRequest& request, const RelayResult& result);
 
-    /** Once a request has reached as many targets as its route allows, its next sending goes to one of them.
-     */
+    /** Once a request has reached as many targets as its route allows, excludes all others from its next
+        attempts. */
     void limitTargets (detail::EntryRequest& request) const;
 
 private:
     //==============================================================================
-    double placeOf (const detail::EntryRequest& request) const;
+    double shedRankOf (const detail::EntryRequest& request) const;
 
-    Parts m_parts;
-    RelayRetryThrottle m_tokens;
+    Dependencies m_dependencies;
+    RelayRetryThrottle m_throttle;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/TargetSelection.cpp
+++ b/modules/plankledge_policy/relay/entry/TargetSelection.cpp
@@ -8,32 +8,31 @@
 namespace
 {
 
-/** What another zone costs at least, as time: the round trip, and its bytes are dear on short calls, too.
-   With half of both figures a third more bytes went between zones and no more was served; with twice as much
-   the days of high load were worse (docs/experiments/03 and 04). */
-constexpr Duration leastZonePenalty = Milliseconds (50);
+/** Minimum penalty of a target in another zone. Covers the round trip and, for short calls, the cost of the
+   traffic between zones. */
+constexpr Duration minZonePenalty = Milliseconds (50);
 
-/** What another zone costs, as part of the objective. */
+/** The penalty of a target in another zone is the latency objective divided by this. */
 constexpr int zonePenaltyDivisor = 5;
 
-/** How often a wait counts against the time of the work itself. */
+/** Weight of the expected queueing time relative to the service time. */
 constexpr int waitWeight = 4;
 
-/** Work that takes less than this part of the objective is fast enough: there is no use in going to another
-    zone for faster work still. */
+/** Service times below the latency objective divided by this are fast enough: a request is not sent to
+   another zone for an even faster target. */
 constexpr int fastEnoughDivisor = 8;
 
-/** Among targets that are fast enough the faster one is preferred by this part of the difference. */
+/** Service times are also added divided by this, to prefer the faster of several fast targets. */
 constexpr int speedPreferenceDivisor = 4;
 
-/** Expected times are made longer at random by up to this, in percent. */
-constexpr std::uint64_t spreadPercent = 10;
+/** Upper bound of the random jitter on expected times, in percent. */
+constexpr std::uint64_t maxJitterPercent = 10;
 
-/** One choice in so many is made at random among the targets of the own zone. */
-constexpr std::uint64_t choicesPerTrial = 50;
+/** One of this many selections, on average, probes a random target of the own zone. */
+constexpr std::uint64_t selectionsPerProbe = 50;
 
-/** A target that fails more often than this is not tried at random. */
-constexpr std::uint16_t mostFailuresOfTrial = 300;
+/** Targets with a higher failure rate than this, in thousandths, are not probed. */
+constexpr std::uint16_t maxProbeFailurePermille = 300;
 
 constexpr double permille = 1000.0;
 
@@ -42,50 +41,51 @@
     return Duration (static_cast<Duration::rep> (static_cast<double> (duration.count()) * factor));
 }
 
-Duration penaltyOf (const Peer& peer, const ChoiceNeeds& needs) noexcept
+Duration penaltyOf (const Peer& peer, const TargetCriteria& criteria) noexcept
 {
-    // What a gate refuses at the entries never shows in its queue: without this one of two gates stood at
-    // half of its level for ten seconds, while the other, in the next zone, was idle, and a third of all
-    // requests was refused.
-    const auto refused = permille - peer.m_gate.m_admittedPermille;
+    // Requests that are shed at entry nodes never show in the queue of the gate. Without this term, a target
+    // that sheds much of its load would be preferred to an idle one in another zone.
+    const auto shedPermille = permille - peer.m_gate.m_admittedPermille;
     const auto penalty =
-        scaled (needs.m_latencyObjective, (peer.m_gate.m_failurePermille + refused) / permille);
+        scaled (criteria.m_latencyObjective, (peer.m_gate.m_failurePermille + shedPermille) / permille);
 
-    if (peer.m_member.m_zone == needs.m_zone)
+    if (peer.m_member.m_zone == criteria.m_zone)
         return penalty;
 
-    return penalty + std::max (leastZonePenalty, needs.m_latencyObjective / zonePenaltyDivisor);
+    return penalty + std::max (minZonePenalty, criteria.m_latencyObjective / zonePenaltyDivisor);
 }
 
-Duration timeOf (const Peer& peer, const ChoiceNeeds& needs) noexcept
+Duration expectedTime (const Peer& peer, const TargetCriteria& criteria) noexcept
 {
-    const auto work = peer.timeOf (needs.m_route);
-    const auto counted = std::max (work, needs.m_latencyObjective / fastEnoughDivisor);
-    return counted + work / speedPreferenceDivisor + peer.expectedWait (needs.m_route) * waitWeight;
+    const auto serviceTime = peer.timeOf (criteria.m_route);
+    const auto boundedTime = std::max (serviceTime, criteria.m_latencyObjective / fastEnoughDivisor);
+    return boundedTime + serviceTime / speedPreferenceDivisor +
+           peer.expectedWait (criteria.m_route) * waitWeight;
 }
 
-/** @returns any target of the own zone that has free slots and seldom fails, or nullptr */
-const Peer* chooseAny (const std::vector<const Peer*>& candidates, const ChoiceNeeds& needs, Random& random)
+/** @returns a random target of the own zone that has free slots and rarely fails, or nullptr */
+const Peer* selectProbe (const std::vector<const Peer*>& candidates, const TargetCriteria& criteria,
+                         Random& random)
 {
-    std::vector<const Peer*> fit;
+    std::vector<const Peer*> eligible;
 
     for (const auto* peer : candidates)
-        if (peer->m_member.m_zone == needs.m_zone && peer->load() < peer->m_gate.m_limit &&
-            peer->m_gate.m_failurePermille < mostFailuresOfTrial &&
-            ! needs.m_tried.contains (peer->m_member.m_id.m_instance))
-            fit.push_back (peer);
+        if (peer->m_member.m_zone == criteria.m_zone && peer->load() < peer->m_gate.m_limit &&
+            peer->m_gate.m_failurePermille < maxProbeFailurePermille &&
+            ! criteria.m_tried.contains (peer->m_member.m_id.m_instance))
+            eligible.push_back (peer);
 
-    return fit.empty() ? nullptr : fit[random.below (fit.size())];
+    return eligible.empty() ? nullptr : eligible[random.below (eligible.size())];
 }
 
 } // namespace
 
 //==============================================================================
-const Peer* chooseTarget (const std::vector<const Peer*>& candidates, const ChoiceNeeds& needs,
+const Peer* selectTarget (const std::vector<const Peer*>& candidates, const TargetCriteria& criteria,
                           Random& random)
 {
-    if (random.below (choicesPerTrial) == 0)
-        if (const auto* peer = chooseAny (candidates, needs, random))
+    if (random.below (selectionsPerProbe) == 0)
+        if (const auto* peer = selectProbe (candidates, criteria, random))
             return peer;
 
     const Peer* best = nullptr;
@@ -93,11 +93,11 @@
 
     for (const auto* peer : candidates)
     {
-        if (needs.m_tried.contains (peer->m_member.m_id.m_instance))
+        if (criteria.m_tried.contains (peer->m_member.m_id.m_instance))
             continue;
 
-        const auto spread = 1.0 + static_cast<double> (random.below (spreadPercent)) / 100.0;
-        const auto cost = scaled (timeOf (*peer, needs), spread) + penaltyOf (*peer, needs);
+        const auto jitter = 1.0 + static_cast<double> (random.below (maxJitterPercent)) / 100.0;
+        const auto cost = scaled (expectedTime (*peer, criteria), jitter) + penaltyOf (*peer, criteria);
 
         if (best != nullptr && cost >= bestCost)
             continue;
--- a/modules/plankledge_policy/relay/entry/TargetSelection.h
+++ b/modules/plankledge_policy/relay/entry/TargetSelection.h
@@ -10,29 +10,29 @@
 {
 
 //==============================================================================
-/** What a choice of target depends on besides the targets. */
-struct ChoiceNeeds
+/** Properties of a request that the selection of its target depends on. */
+struct TargetCriteria
 {
-    ZoneName m_zone; /**< where the request began */
+    ZoneName m_zone; /**< availability zone of the entry node */
     RouteName m_route;
     Duration m_latencyObjective {};
-    std::set<InstanceName> m_tried; /**< not again */
+    std::set<InstanceName> m_tried; /**< instances that are excluded */
 };
 
 /**
-    Chooses the target where a request is expected to end soonest.
+    Selects the target with the lowest expected latency, adjusted by penalties.
 
-    Waiting counts several times: while one target has a queue, another one's free slots
-    are lost. A target in another availability zone must be sooner by a part of the
-    objective, since bytes between zones are dear; one that fails often must be sooner by
-    as much of the objective as it fails. Times are spread a little so that nodes which
-    know the same don't all take the same target, and now and then any target is taken, so
-    that all are known by their real work.
+    The expected queueing time has a higher weight than the service time, since a queue at
+    one target wastes free slots of others. Targets in another availability zone have a
+    penalty, since traffic between zones is expensive, and so have targets that fail or
+    shed requests. Costs have random jitter, so that nodes with the same information don't
+    all select the same target. A small fraction of requests probes a random target, so
+    that the service times of all targets stay known.
 
-    @param candidates   nodes that take work
-    @returns the choice, or nullptr where all were tried
+    @param candidates   nodes that accept work
+    @returns the selected node, or nullptr if all were tried
 */
-const Peer* chooseTarget (const std::vector<const Peer*>& candidates, const ChoiceNeeds& needs,
+const Peer* selectTarget (const std::vector<const Peer*>& candidates, const TargetCriteria& criteria,
                           Random& random);
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/WeightedServiceSelector.h
+++ b/modules/plankledge_policy/relay/entry/WeightedServiceSelector.h
@@ -9,18 +9,18 @@
 {
 
 //==============================================================================
-/** Divides a split route's requests among its services by weight: smooth weighted round robin, so that each
-    share is right over any short run of requests. */
+/** Distributes the requests of a route among its services by weight, using smooth weighted round-robin, so
+    that the proportions are also exact over short sequences of requests. */
 class WeightedServiceSelector
 {
 public:
     //==============================================================================
-    /** @returns the service that takes the route's next request */
+    /** @returns the service for the next request of the route */
     const ServiceName& next (const Route& route);
 
 private:
     //==============================================================================
-    std::map<RouteName, std::vector<double>> m_owed; /**< to each service of a route, in units of weight */
+    std::map<RouteName, std::vector<double>> m_credits; /**< of each service of a route, in units of weight */
 };
 
 } // namespace plankledge
--- a/tests/relay/entry/Admission_test.cpp
+++ b/tests/relay/entry/Admission_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-/** An entry and one target of "plans". */
+/** An entry node and one target of "plans". */
 struct OneTarget : RelayRig
 {
     explicit OneTarget (std::uint32_t slots)
@@ -23,8 +23,8 @@
     }
 };
 
-/** A request "old" runs at "front" and may make calls on "deep", whose target has one slot and takes 50 ms.
- */
+/** A request "old" runs at "front" and may make nested calls to "deep", whose target has one slot and a
+   service time of 50 ms. */
 struct OneSlot : RelayRig
 {
     OneSlot()
@@ -40,7 +40,7 @@
         run (Milliseconds (10));
     }
 
-    /** Two requests come straight to "deep", and then a call of "old". */
+    /** Sends two requests directly to "deep", and then a nested call of "old". */
     void sendDirectThenCall()
     {
         send ("entry", "first", "/call/x");
@@ -61,7 +61,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("calls of requests that run go before new ones, and what can't run in time is refused unsent")
+TEST_CASE ("requests that can't run in time are refused with a retry delay and do not reach the target")
 {
     OneTarget rig (1);
     rig.setTarget ("one", always (TargetReplyKind::answered, Milliseconds (100)));
@@ -86,7 +86,8 @@
     CHECK (rig.runs().size() == tickets.size() - refused);
 }
 
-TEST_CASE ("a chain that has begun at a target gets its next slot before requests that came before the call")
+TEST_CASE (
+    "a call chain that has run at a target goes before requests that arrived earlier than its next call")
 {
     OneSlot site;
     site.send ("front", "old.one", "/call/x");
@@ -96,14 +97,15 @@
     CHECK (site.ranAt ("old.call") < site.ranAt ("second"));
 }
 
-TEST_CASE ("a chain that has not begun at a target has no place before a request that came before its call")
+TEST_CASE ("a call chain that has not run at a target does not go before requests that arrived earlier")
 {
     OneSlot site;
     site.sendDirectThenCall();
     CHECK (site.ranAt ("second") < site.ranAt ("old.call"));
 }
 
-TEST_CASE ("requests are refused at the entry for a service that only their calls reach")
+TEST_CASE (
+    "requests are refused at the entry node if a service that only their nested calls reach is overloaded")
 {
     RelayRig rig;
     rig.add ("entry", "web");
@@ -114,7 +116,7 @@
     rig.setTarget ("deep", always (TargetReplyKind::answered, Milliseconds (50)));
     int calls = 0;
 
-    // Each request makes one call through the node beside its target.
+    // Each request makes one nested call through the node of its target.
     rig.setTarget (
         "front", [&calls] (RelayRig& inner, const InstanceName& instance, const RelayToTarget& dispatch) {
             inner.send (instance, dispatch.m_content.m_id + ".c" + std::to_string (++calls), "/call/x");
@@ -135,16 +137,16 @@
     for (std::size_t index = tickets.size() / 2; index < tickets.size(); ++index)
         refusedLate += rig.answers().at (tickets[index]).m_result.m_reason == Reason::overloadedDownstream;
 
-    // 200 requests a second come; the service below does about 20.
+    // The load is 200 requests per second; the downstream service handles about 20.
     CHECK (refusedLate > tickets.size() * 3 / 8);
 }
 
-TEST_CASE ("what a target rejects at once takes no capacity: nothing is refused at the entry for it")
+TEST_CASE ("requests that a target rejects at once take no capacity and cause no refusals at the entry node")
 {
     OneTarget rig (20);
     const auto count = std::make_shared<int> (0);
 
-    // Half of the requests are rejected at once, the others take 50 ms: ten of twenty slots for 400 a second.
+    // Half of 400 requests/s are rejected at once, the others take 50 ms: this occupies ten of twenty slots.
     rig.setTarget (
         "one", [count] (RelayRig& inner, const InstanceName& instance, const RelayToTarget& dispatch) {
             if (++*count % 2 == 0)
--- a/tests/relay/entry/EntryAdmission_test.cpp
+++ b/tests/relay/entry/EntryAdmission_test.cpp
@@ -27,11 +27,11 @@
     return member;
 }
 
-/** An entry that knows one target of "archive", where "log" takes 480 ms, "fetch" 30 ms and "urgent" 480 ms.
-   A "status" of another service makes four fetches. */
-struct Entry
+/** An entry node that knows one target of "archive", with service times of 480 ms for "log" and "urgent" and
+   30 ms for "fetch". Each "status" request to another service makes four "fetch" calls. */
+struct EntryNode
 {
-    explicit Entry (std::uint16_t levelPermille)
+    explicit EntryNode (std::uint16_t levelPermille)
         : m_peers (memberOf ("entry", "web"))
     {
         m_peers.learn (memberOf ("one", "archive"), PeerTable::Source::itself);
@@ -49,27 +49,27 @@
         m_routes = RouteTable (1, hosts);
     }
 
-    /** Judges as many requests of each kind as come to the users' archive, four in five of them small.
+    /** Decides on 6000 requests: one sixth for "/log/", one sixth for "/urgent/" and the rest for "/status/".
 
-        @returns the share that is admitted of each kind
+        @returns the admitted share of requests, by path
     */
     std::map<std::string, double> admitted()
     {
         std::map<std::string, double> admitted;
-        std::map<std::string, double> asked;
+        std::map<std::string, double> sent;
 
         for (int index = 0; index < 6000; ++index)
         {
             const std::string path = index % 6 == 0 ? "/log/" : index % 6 == 1 ? "/urgent/" : "/status/";
             const auto* route = m_routes.find ("host", path);
-            const auto verdict = m_admission.judge (*route, route->m_services.front().m_service, timeout,
-                                                    m_routes, m_peers, m_calls, m_random);
-            asked[path] += 1.0;
-            admitted[path] += verdict.m_refusal.has_value() ? 0.0 : 1.0;
+            const auto decision = m_admission.decide (*route, route->m_services.front().m_service, timeout,
+                                                      m_routes, m_peers, m_calls, m_random);
+            sent[path] += 1.0;
+            admitted[path] += decision.m_refusal.has_value() ? 0.0 : 1.0;
         }
 
         for (auto& [path, count] : admitted)
-            count /= asked[path];
+            count /= sent[path];
 
         return admitted;
     }
@@ -84,29 +84,30 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("with room for all, all is admitted")
+TEST_CASE ("all requests are admitted at the highest admission level")
 {
-    for (const auto& [path, share] : Entry (1000).admitted())
+    for (const auto& [path, share] : EntryNode (1000).admitted())
         CHECK (share == 1.0);
 }
 
-TEST_CASE ("within a priority what asks most of the service that is short is refused first, with a floor")
+TEST_CASE ("within a priority, requests that are expensive for the bottleneck are shed first, up to a bound")
 {
-    // All of the first priority, and of the second a quarter: first attempts draw from the better half.
-    auto admitted = Entry (625).admitted();
+    // Admits all of the first priority and a quarter of the second; first attempts draw from the lower half
+    // of the ranks.
+    auto admitted = EntryNode (625).admitted();
     CHECK (admitted["/urgent/"] == 1.0);
     CHECK (admitted["/status/"] > 0.5);
     CHECK (admitted["/log/"] < admitted["/status/"] * 0.8);
     CHECK (admitted["/log/"] > admitted["/status/"] * 0.6);
 }
 
-TEST_CASE ("a lesser priority is admitted a quarter as often as the most urgent one, and no more, where that "
-           "one has no room")
+TEST_CASE ("where the most urgent priority saturates a service, lower priorities are admitted about a "
+           "quarter as often")
 {
     for (const std::uint16_t level : { 150, 200, 300 })
     {
         CAPTURE (level);
-        auto admitted = Entry (level).admitted();
+        auto admitted = EntryNode (level).admitted();
         CHECK (admitted["/urgent/"] > 0.5);
         CHECK (admitted["/log/"] < admitted["/urgent/"] * 0.3);
         CHECK (admitted["/status/"] < admitted["/urgent/"] * 0.3);
@@ -115,19 +116,19 @@
     }
 }
 
-TEST_CASE ("who comes back after a refusal is never ranked with more urgent requests")
+TEST_CASE ("client retries are never promoted to a more urgent priority")
 {
-    Entry entry (300);
+    EntryNode entry (300);
     const auto& route = *entry.m_routes.find ("host", "/status/");
-    const auto judge = [&] (Duration left) {
-        return entry.m_admission.judge (route, "portal", left, entry.m_routes, entry.m_peers, entry.m_calls,
-                                        entry.m_random);
+    const auto decide = [&] (Duration left) {
+        return entry.m_admission.decide (route, "portal", left, entry.m_routes, entry.m_peers, entry.m_calls,
+                                         entry.m_random);
     };
 
-    (void)judge (timeout);
+    (void)decide (timeout);
 
     for (int index = 0; index < 1000; ++index)
-        CHECK (judge (timeout / 2).m_priority == route.m_priority);
+        CHECK (decide (timeout / 2).m_priority == route.m_priority);
 }
 
 } // namespace plankledge::test
--- a/tests/relay/entry/Retries_test.cpp
+++ b/tests/relay/entry/Retries_test.cpp
@@ -16,35 +16,35 @@
 namespace
 {
 
-/** What a target does to a first sending, and what must come of the request. */
+/** How a target fails the first attempt, and the expected result of the request. */
 struct FailureRow
 {
     const char* m_name;
     TargetReplyKind m_kind;
     const char* m_path;
     Outcome m_outcome;
-    std::size_t m_runs; /**< sendings to targets */
+    std::size_t m_runs; /**< expected number of attempts */
 };
 
 const FailureRow failureRows[] = {
-    { "repeatable, broken: sent again", TargetReplyKind::broken, "/read/x", Outcome::completed, 2 },
-    { "repeatable, rejected: sent again", TargetReplyKind::rejected, "/read/x", Outcome::completed, 2 },
-    { "repeatable, not sent: sent again", TargetReplyKind::notSent, "/read/x", Outcome::completed, 2 },
-    { "not repeatable, broken: never again", TargetReplyKind::broken, "/write/x", Outcome::unknown, 1 },
-    { "not repeatable, rejected: did not run", TargetReplyKind::rejected, "/write/x", Outcome::completed, 2 },
-    { "not repeatable, not sent: did not run", TargetReplyKind::notSent, "/write/x", Outcome::completed, 2 },
+    { "repeatable, broken: retried", TargetReplyKind::broken, "/read/x", Outcome::completed, 2 },
+    { "repeatable, rejected: retried", TargetReplyKind::rejected, "/read/x", Outcome::completed, 2 },
+    { "repeatable, not sent: retried", TargetReplyKind::notSent, "/read/x", Outcome::completed, 2 },
+    { "not repeatable, broken: not retried", TargetReplyKind::broken, "/write/x", Outcome::unknown, 1 },
+    { "not repeatable, rejected: retried", TargetReplyKind::rejected, "/write/x", Outcome::completed, 2 },
+    { "not repeatable, not sent: retried", TargetReplyKind::notSent, "/write/x", Outcome::completed, 2 },
 };
 
 } // namespace
 
-TEST_CASE ("a second sending is made only where the first did not run or may be repeated")
+TEST_CASE ("a request is retried only if its first attempt did not run or its route is repeatable")
 {
     for (const auto& row : failureRows)
     {
         CAPTURE (row.m_name);
         RelaySite site;
 
-        // Tokens for retries are earned by requests.
+        // Retries are limited to a ratio of the requests sent.
         for (int index = 0; index < 40; ++index)
             site.send ("entry", "warm-" + std::to_string (index), "/read/x");
 
@@ -58,7 +58,7 @@
     }
 }
 
-TEST_CASE ("an answer of not run is given only where no sending may have run")
+TEST_CASE ("the outcome notRun is returned only if no attempt may have run")
 {
     RelaySite site;
     site.setTargets (always (TargetReplyKind::broken));
@@ -73,7 +73,7 @@
     CHECK (site.reasonOf (lost) == Reason::deadlineExceeded);
 }
 
-TEST_CASE ("retries stay within the ratio and the slack, over all nodes")
+TEST_CASE ("the retries of all nodes together stay within the ratio and the slack")
 {
     RelayRig rig;
 
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE (
-    "a rejected request may be sent to the same targets again, and to no more of them than its route allows")
+    "a rejected request may be retried at the same targets, and at no more of them than its route allows")
 {
     RelayRig rig;
     rig.add ("entry", "web");
@@ -122,7 +122,7 @@
     rig.run (Milliseconds (100));
     const auto rejected = std::make_shared<int> (0);
 
-    // The first four sendings are rejected.
+    // The first four attempts are rejected.
     for (const auto* name : { "one", "two", "three", "four" })
         rig.setTarget (
             name, [rejected] (RelayRig& inner, const InstanceName& instance, const RelayToTarget& dispatch) {
--- a/tests/relay/entry/RetryTokens_test.cpp
+++ b/tests/relay/entry/RetryTokens_test.cpp
@@ -13,32 +13,32 @@
 
 const Time start { std::chrono::hours (1) };
 
-/** @returns retries taken in a second of so many requests, each of which wants one */
-int retriesOf (RelayRetryThrottle& tokens, int requests, Time& now)
+/** @returns the number of retries granted within one second, in which each request asks for one */
+int grantedRetries (RelayRetryThrottle& throttle, int requests, Time& now)
 {
-    int taken = 0;
+    int granted = 0;
 
     for (int index = 0; index < requests; ++index)
     {
-        tokens.onRequest ("plans", now);
-        taken += tokens.take ("plans", {}, 0.0, now) ? 1 : 0;
+        throttle.onRequest ("plans", now);
+        granted += throttle.tryAcquire ("plans", {}, 0.0, now) ? 1 : 0;
         now += std::chrono::seconds (1) / requests;
     }
 
-    return taken;
+    return granted;
 }
 
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a node that starts has no retries")
+TEST_CASE ("a node that has not sent requests yet has no retries")
 {
-    RelayRetryThrottle tokens { RelaySettings() };
-    CHECK_FALSE (tokens.take ("plans", {}, 0.0, start));
-    CHECK_FALSE (tokens.take ("plans", {}, 0.0, start + std::chrono::hours (1)));
+    RelayRetryThrottle throttle { RelaySettings() };
+    CHECK_FALSE (throttle.tryAcquire ("plans", {}, 0.0, start));
+    CHECK_FALSE (throttle.tryAcquire ("plans", {}, 0.0, start + std::chrono::hours (1)));
 }
 
-TEST_CASE ("over any window all nodes together stay under the ratio and the slack")
+TEST_CASE ("in any window, the retries of all nodes together stay within the ratio and the slack")
 {
     constexpr int nodes = 15;
     constexpr int requestsPerSecond = 20;
@@ -51,84 +51,85 @@
 
     for (int second = 0; second < 40; ++second)
     {
-        int taken = 0;
+        int granted = 0;
 
         for (int node = 0; node < nodes; ++node)
         {
-            all[static_cast<std::size_t> (node)].setNodes (nodes);
-            taken += retriesOf (all[static_cast<std::size_t> (node)], requestsPerSecond,
-                                clocks[static_cast<std::size_t> (node)]);
+            all[static_cast<std::size_t> (node)].setNodeCount (nodes);
+            granted += grantedRetries (all[static_cast<std::size_t> (node)], requestsPerSecond,
+                                       clocks[static_cast<std::size_t> (node)]);
         }
 
-        bySecond.push_back (taken);
+        bySecond.push_back (granted);
     }
 
     const auto bound = nodes * requestsPerSecond * settings.m_retryRatio * windowSeconds;
-    int most = 0;
+    int maxInWindow = 0;
 
     for (std::size_t first = 0; first + windowSeconds <= bySecond.size(); ++first)
-        most = std::max (
-            most,
+        maxInWindow = std::max (
+            maxInWindow,
             std::accumulate (bySecond.begin() + static_cast<std::ptrdiff_t> (first),
                              bySecond.begin() + static_cast<std::ptrdiff_t> (first + windowSeconds), 0));
 
-    CHECK (most > 0);
-    CHECK (most < bound);
+    CHECK (maxInWindow > 0);
+    CHECK (maxInWindow < bound);
 }
 
-TEST_CASE ("a retry whose calls run again costs more")
+TEST_CASE ("a retry that repeats nested calls costs more")
 {
     const std::map<ServiceName, double> demand { { "corrections", 4.0 }, { "lodgement", 1.0 } };
     RelayRetryThrottle plain { RelaySettings() };
     RelayRetryThrottle deep { RelaySettings() };
-    int plainTaken = 0;
-    int deepTaken = 0;
+    int plainGranted = 0;
+    int deepGranted = 0;
 
     for (int index = 0; index < 1000; ++index)
     {
         const auto now = start + Milliseconds (index);
         plain.onRequest ("search", now);
         deep.onRequest ("search", now);
-        plainTaken += plain.take ("search", {}, 0.0, now) ? 1 : 0;
-        deepTaken += deep.take ("search", demand, 0.0, now) ? 1 : 0;
+        plainGranted += plain.tryAcquire ("search", {}, 0.0, now) ? 1 : 0;
+        deepGranted += deep.tryAcquire ("search", demand, 0.0, now) ? 1 : 0;
     }
 
-    CHECK (plainTaken > 2 * deepTaken);
-    CHECK (deepTaken > 0);
+    CHECK (plainGranted > 2 * deepGranted);
+    CHECK (deepGranted > 0);
 }
 
-TEST_CASE ("where more is wanted than there is, some chains get all they want and the others nothing")
+TEST_CASE ("where retries are scarce, some chains get all they want and the others none")
 {
-    RelayRetryThrottle tokens { RelaySettings() };
-    std::array<int, 10> wished {};
-    std::array<int, 10> taken {};
+    RelayRetryThrottle throttle { RelaySettings() };
+    std::array<int, 10> wanted {};
+    std::array<int, 10> granted {};
 
-    // A hundred chains a second, whose requests are all rejected at first.
+    // A hundred chains per second, each of which asks for one retry.
     for (int index = 0; index < 3000; ++index)
     {
         const auto now = start + Milliseconds (index * 10);
         const auto tenth = static_cast<std::size_t> (index * 7 % 10);
-        tokens.onRequest ("plans", now);
-        const auto isTaken = tokens.take ("plans", {}, static_cast<double> (tenth) / 10.0 + 0.05, now);
+        throttle.onRequest ("plans", now);
+        const auto isGranted =
+            throttle.tryAcquire ("plans", {}, static_cast<double> (tenth) / 10.0 + 0.05, now);
 
         if (index < 1000)
             continue;
 
-        ++wished[tenth];
-        taken[tenth] += isTaken ? 1 : 0;
+        ++wanted[tenth];
+        granted[tenth] += isGranted ? 1 : 0;
     }
 
-    CHECK (taken[0] > wished[0] * 9 / 10);
-    CHECK (taken[9] == 0);
-    CHECK (taken[5] == 0);
+    CHECK (granted[0] > wanted[0] * 9 / 10);
+    CHECK (granted[9] == 0);
+    CHECK (granted[5] == 0);
 }
 
-TEST_CASE ("calls of runs that were retries themselves leave less for others")
+TEST_CASE ("nested calls of retried requests reduce the retries left for others")
 {
     RelayRetryThrottle plain { RelaySettings() };
     RelayRetryThrottle charged { RelaySettings() };
-    int plainTaken = 0;
-    int chargedTaken = 0;
+    int plainGranted = 0;
+    int chargedGranted = 0;
 
     for (int index = 0; index < 2000; ++index)
     {
@@ -139,11 +140,11 @@
         if (index % 10 == 0)
             charged.charge ("plans", now);
 
-        plainTaken += plain.take ("plans", {}, 0.0, now) ? 1 : 0;
-        chargedTaken += charged.take ("plans", {}, 0.0, now) ? 1 : 0;
+        plainGranted += plain.tryAcquire ("plans", {}, 0.0, now) ? 1 : 0;
+        chargedGranted += charged.tryAcquire ("plans", {}, 0.0, now) ? 1 : 0;
     }
 
-    CHECK (chargedTaken + 150 < plainTaken);
+    CHECK (chargedGranted + 150 < plainGranted);
 }
 
 } // namespace plankledge::test
--- a/tests/relay/entry/ServiceShares_test.cpp
+++ b/tests/relay/entry/ServiceShares_test.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("every run of requests as long as the weights' sum has the exact shares")
+TEST_CASE ("each cycle of as many requests as the sum of the weights has the exact proportions")
 {
     const std::vector<std::vector<WeightedService>> rows { { { "one", 1 } },
                                                            { { "one", 90 }, { "two", 10 } },
@@ -29,7 +29,7 @@
 
     for (const auto& services : rows)
     {
-        WeightedServiceSelector shares;
+        WeightedServiceSelector selector;
         const auto route = split ("route", services);
         std::uint32_t total = 0;
 
@@ -41,7 +41,7 @@
             std::map<ServiceName, std::uint32_t> counts;
 
             for (std::uint32_t index = 0; index < total; ++index)
-                ++counts[shares.next (route)];
+                ++counts[selector.next (route)];
 
             for (const auto& service : services)
                 CHECK (counts[service.m_service] == service.m_weight);
@@ -49,18 +49,18 @@
     }
 }
 
-TEST_CASE ("routes don't disturb each other, and a change of weights counts at once")
+TEST_CASE ("routes are independent of each other, and a change of weights takes effect at once")
 {
-    WeightedServiceSelector shares;
+    WeightedServiceSelector selector;
     const auto first = split ("first", { { "one", 1 }, { "two", 1 } });
     const auto second = split ("second", { { "one", 1 }, { "two", 1 } });
-    CHECK (shares.next (first) != shares.next (first));
-    CHECK (shares.next (second) != shares.next (second));
+    CHECK (selector.next (first) != selector.next (first));
+    CHECK (selector.next (second) != selector.next (second));
 
     const auto changed = split ("first", { { "one", 1 }, { "two", 0 }, { "three", 0 } });
 
     for (int index = 0; index < 5; ++index)
-        CHECK (shares.next (changed) == "one");
+        CHECK (selector.next (changed) == "one");
 }
 
 } // namespace plankledge::test
--- a/tests/relay/entry/TargetChoice_test.cpp
+++ b/tests/relay/entry/TargetChoice_test.cpp
@@ -16,53 +16,52 @@
     std::uint32_t m_load;
     int m_serviceMs;
     std::uint16_t m_failurePermille;
-    std::uint16_t m_refusedPermille = 0; /**< of the order of refusal, by its gate */
+    std::uint16_t m_shedPermille = 0; /**< shed at entry nodes by the admission level of its gate */
 };
 
-/** Candidates with 20 slots each, and which of them gets nearly all requests of zone a. */
+/** Candidates with 20 slots each, and the one that must get nearly all requests of zone a. */
 struct Row
 {
     const char* m_name;
     std::vector<Candidate> m_candidates;
-    const char* m_chosen;
+    const char* m_expected;
 };
 
 const Row rows[] = {
-    { "the own zone, though the other is idle",
+    { "the own zone, although the other is idle",
       { { "own", "a", 10, 20, 0 }, { "far", "b", 0, 20, 0 } },
       "own" },
-    { "the own zone, though the other is faster",
+    { "the own zone, although the other is faster",
       { { "own", "a", 10, 30, 0 }, { "far", "b", 0, 15, 0 } },
       "own" },
-    { "another zone, while the own one waits long",
+    { "another zone, if the own one has a long queue",
       { { "own", "a", 60, 30, 0 }, { "far", "b", 5, 30, 0 } },
       "far" },
-    { "the own zone, for a wait of a thirtieth of the objective",
+    { "the own zone, if its wait is a thirtieth of the objective",
       { { "own", "a", 40, 30, 0 }, { "far", "b", 5, 30, 0 } },
       "own" },
-    { "the own zone, while both wait alike",
+    { "the own zone, if both have the same wait",
       { { "own", "a", 40, 30, 0 }, { "far", "b", 40, 30, 0 } },
       "own" },
-    { "within a zone the faster", { { "slow", "a", 5, 400, 0 }, { "fast", "a", 5, 50, 0 } }, "fast" },
-    { "the one that does not fail", { { "grey", "a", 0, 20, 500 }, { "far", "b", 0, 20, 0 } }, "far" },
-    // A gate that refuses at the entries keeps its queue short. One stood at a level of 0.5 for ten seconds,
-    // while that of the next zone was idle and a third of all requests was refused.
-    { "another zone, while the own one refuses half, though nothing waits there",
+    { "within a zone, the faster target", { { "slow", "a", 5, 400, 0 }, { "fast", "a", 5, 50, 0 } }, "fast" },
+    { "the target that does not fail", { { "grey", "a", 0, 20, 500 }, { "far", "b", 0, 20, 0 } }, "far" },
+    // Shedding at entry nodes keeps the queue of a gate short, so an empty queue does not mean free capacity.
+    { "another zone, if the own one sheds half of its requests, although its queue is empty",
       { { "own", "a", 20, 30, 0, 500 }, { "far", "b", 5, 30, 0 } },
       "far" },
-    { "the own zone, while both refuse alike",
+    { "the own zone, if both shed the same share",
       { { "own", "a", 20, 30, 0, 500 }, { "far", "b", 20, 30, 0, 500 } },
       "own" },
-    { "the own zone, though it refuses a tenth",
+    { "the own zone, although it sheds a tenth",
       { { "own", "a", 20, 30, 0, 100 }, { "far", "b", 5, 30, 0 } },
       "own" },
-    { "a slow one is left, even for another zone",
+    { "another zone, if the own target is very slow",
       { { "slow", "a", 5, 900, 0 }, { "far", "b", 5, 60, 0 } },
       "far" },
 };
 
-/** @returns the slot time of the requests that find none of the 20 slots free */
-Duration waitingWork (const Candidate& candidate)
+/** @returns the total service time of the requests queued beyond the 20 slots */
+Duration queuedWork (const Candidate& candidate)
 {
     const auto waiting = candidate.m_load > 20 ? candidate.m_load - 20 : 0;
     return Milliseconds (candidate.m_serviceMs) * waiting;
@@ -80,9 +79,9 @@
         peer.m_gate = { true,
                         20,
                         candidate.m_load,
-                        waitingWork (candidate),
+                        queuedWork (candidate),
                         candidate.m_failurePermille,
-                        static_cast<std::uint16_t> (1000 - candidate.m_refusedPermille) };
+                        static_cast<std::uint16_t> (1000 - candidate.m_shedPermille) };
         peer.m_times["route"] = Milliseconds (candidate.m_serviceMs);
         peers.push_back (peer);
     }
@@ -103,44 +102,44 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a target is chosen by waiting, zone, failures and speed")
+TEST_CASE ("a target is selected by queueing time, zone, failures and service time")
 {
-    constexpr int choices = 500;
+    constexpr int selections = 500;
 
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
         const auto peers = makePeers (row.m_candidates);
         Random random (7);
-        int chosen = 0;
+        int selectedCount = 0;
 
-        for (int index = 0; index < choices; ++index)
+        for (int index = 0; index < selections; ++index)
         {
             const auto* peer =
-                chooseTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), {} }, random);
+                selectTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), {} }, random);
             REQUIRE (peer != nullptr);
-            chosen += peer->m_member.m_id.m_instance == row.m_chosen ? 1 : 0;
+            selectedCount += peer->m_member.m_id.m_instance == row.m_expected ? 1 : 0;
         }
 
-        CHECK (chosen > choices * 9 / 10);
+        CHECK (selectedCount > selections * 9 / 10);
     }
 }
 
-TEST_CASE ("a target that was tried is not chosen again, and every target of the zone is tried at times")
+TEST_CASE ("a target that was tried is not selected again, and every target of the zone is probed at times")
 {
     const auto peers = makePeers ({ { "fast", "a", 0, 20, 0 }, { "slow", "a", 0, 400, 0 } });
     Random random (7);
     const auto* other =
-        chooseTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), { "fast" } }, random);
+        selectTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), { "fast" } }, random);
     REQUIRE (other != nullptr);
     CHECK (other->m_member.m_id.m_instance == "slow");
-    CHECK (chooseTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), { "fast", "slow" } },
+    CHECK (selectTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), { "fast", "slow" } },
                          random) == nullptr);
 
     int slow = 0;
 
     for (int index = 0; index < 2000; ++index)
-        slow += chooseTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), {} }, random)
+        slow += selectTarget (pointersTo (peers), { "a", "route", Milliseconds (1000), {} }, random)
                             ->m_member.m_id.m_instance == "slow"
                     ? 1
                     : 0;
