--- a/modules/plankledge_policy/relay/entry/EntryAdmission.h
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.h
@@ -22,9 +22,9 @@
     The shed rank is a position in [0, 1) of the order in which requests are shed; higher
     ranks are shed first. It is derived from the priority of the route and, within a
     priority, from a random cohort. Client retries draw from the upper half of the cohorts,
-    since under sustained overload answering first attempts is worth more. Requests that
-    are expensive for the bottleneck service tend to be shed first, so that its slots serve
-    more callers.
+    so that under sustained overload first attempts are answered rather than retries.
+    Requests that are expensive for the bottleneck service tend to be shed first, so that
+    its slots serve more callers.
 
     A share of the requests of lower priorities is promoted to the most urgent priority,
     for its whole call chain, so that lower priorities are not starved.
