--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -11,8 +11,7 @@
 namespace
 {
 
-/** What is older than it is remembered is looked for after this. */
-constexpr Duration forgettingPeriod = std::chrono::seconds (10);
+constexpr Duration expiryPeriod = std::chrono::seconds (10);
 
 } // namespace
 
@@ -37,7 +36,7 @@
         return;
 
     ++turn.counters().m_acquittals;
-    m_untold.m_acquittals.push_back (acquittal);
+    m_pendingNews.m_acquittals.push_back (acquittal);
 }
 
 const Peer* CrashGuard::trialNode (const ServiceName& service, ContentDigest content) const
@@ -45,7 +44,8 @@
     const Peer* best = nullptr;
     std::uint64_t bestWeight = 0;
 
-    // Also where its gate is shut: were another chosen then, each target in turn would try.
+    // Includes nodes whose gate is closed. Otherwise the trial would move on to another target whenever
+    // the chosen one crashes.
     for (const auto* peer : m_peers.ofService (service))
     {
         if (! peer->m_isHeard)
@@ -68,10 +68,10 @@
 {
     const auto now = turn.now();
 
-    if (now - m_forgotAt >= forgettingPeriod)
+    if (now - m_lastExpiryAt >= expiryPeriod)
     {
-        m_ledger.forgetOld (now);
-        m_forgotAt = now;
+        m_ledger.removeExpired (now);
+        m_lastExpiryAt = now;
     }
 
     for (auto& finding : m_watch.takeFindings (now))
@@ -90,20 +90,20 @@
                              std::move (finding.m_suspects) };
 
         if (m_ledger.learn (report, now))
-            m_untold.m_crashes.push_back (std::move (report));
+            m_pendingNews.m_crashes.push_back (std::move (report));
     }
 
     logHeld (turn);
 
-    if (! m_untold.isEmpty())
-        spread (turn, m_self.m_instance, std::exchange (m_untold, {}));
+    if (! m_pendingNews.isEmpty())
+        broadcast (turn, m_self.m_instance, std::exchange (m_pendingNews, {}));
 }
 
 void CrashGuard::onNews (Turn& turn, const InstanceName& from, const CrashNews& news)
 {
     CrashNews fresh;
 
-    // First what clears: a crash that is heard in the same message may lie before it.
+    // Acquittals first: they may also clear crashes reported in the same message.
     for (const auto& acquittal : news.m_acquittals)
         if (m_ledger.learn (acquittal, turn.now()))
             fresh.m_acquittals.push_back (acquittal);
@@ -115,10 +115,10 @@
     logHeld (turn);
 
     if (! fresh.isEmpty())
-        spread (turn, from, fresh);
+        broadcast (turn, from, fresh);
 }
 
-void CrashGuard::spread (Turn& turn, const InstanceName& from, const CrashNews& news) const
+void CrashGuard::broadcast (Turn& turn, const InstanceName& from, const CrashNews& news) const
 {
     for (const auto* peer : m_peers.others())
         if (peer->m_isHeard && peer->m_member.m_id.m_instance != from)
@@ -147,17 +147,17 @@
 {
     const auto& instance = peer.m_member.m_id.m_instance;
 
-    // A peer that remembers nothing has nothing to tell; it asks itself.
+    // A peer with an empty ledger has nothing to send, and requests this node's ledger itself.
     if (digest == m_ledger.digest() || digest == 0)
     {
-        m_differsSince.erase (instance);
+        m_mismatchSince.erase (instance);
         return;
     }
 
-    const auto [since, isFirst] = m_differsSince.try_emplace (instance, turn.now());
-    const bool knowsNothing = m_ledger.digest() == 0;
+    const auto [since, isFirst] = m_mismatchSince.try_emplace (instance, turn.now());
+    const bool isLedgerEmpty = m_ledger.digest() == 0;
 
-    if (isFirst ? ! knowsNothing : turn.now() - since->second < differingFor)
+    if (isFirst ? ! isLedgerEmpty : turn.now() - since->second < digestMismatchGrace)
         return;
 
     since->second = turn.now();
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -12,14 +12,14 @@
 
 //==============================================================================
 /**
-    Keeps requests that crash their targets away from all of them.
+    Withholds requests that crash targets from every target of the fleet.
 
-    It watches the own target, tells all nodes in contact what ended there, passes on what is new to it, and
-    says which requests may be sent. Entries ask it before they send, gates before they run,
-    so it is enough that one of the two knows.
+    Detects crashes of this node's own target, exchanges crash reports with the other nodes, and decides
+    which requests may be sent. Both the entry node and the node of the target check a request, so it is
+    blocked if either of them knows about it.
 
-    What is new goes to each peer in contact at once, and every hello and status carries a digest of what is
-    remembered: a node that missed something, or has just started, asks for the whole.
+    New reports are sent to every reachable peer at once. Hello and status messages carry a digest of the
+    ledger, so that a node that missed a report, or has just started, requests the complete ledger.
 
     @see CrashLedger, CrashWatch
 */
@@ -27,31 +27,34 @@
 {
 public:
     //==============================================================================
-    /** Two nodes whose digests differ for so long miss something; news are under way for less. */
-    static constexpr Duration differingFor = std::chrono::seconds (1);
+    /** How long the digest of a peer may differ before its ledger is requested. Longer than a report takes
+        to arrive. */
+    static constexpr Duration digestMismatchGrace = std::chrono::seconds (1);
 
     CrashGuard (const NodeId& self, PeerTable& peers);
 
     //==============================================================================
     CrashWatch& watch() noexcept { return m_watch; }
 
-    /** The own target ran a request to its end. */
+    /** Called when this node's target has completed a request. */
     void onAnswered (Turn& turn, ContentDigest content);
 
-    CrashJudgement judge (ContentDigest content, Time now) const { return m_ledger.judge (content, now); }
+    /** @returns whether the request may be sent to a target */
+    HoldStatus judge (ContentDigest content, Time now) const { return m_ledger.judge (content, now); }
 
-    /** @returns the one node whose target may try a request that is on trial, whether its gate is open or
-       not; nullptr: none is there */
+    /** @returns the only node whose target may run a request that is on trial, whether its gate is open or
+        not; nullptr if no node of the service is reachable */
     const Peer* trialNode (const ServiceName& service, ContentDigest content) const;
 
     //==============================================================================
-    /** Tells what became known; every 100 ms. */
+    /** Sends new findings to the peers. Called every 100 ms. */
     void onWindowEnd (Turn& turn, const TargetId& target);
 
     void onNews (Turn& turn, const InstanceName& from, const CrashNews& news);
     void onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const;
 
-    /** A peer told the digest of what it remembers. */
+    /** Compares a peer's ledger digest with this node's, and requests the peer's ledger if they keep
+        differing. */
     void onDigest (Turn& turn, const Peer& peer, std::uint64_t digest);
 
     std::uint64_t digest() const noexcept { return m_ledger.digest(); }
@@ -59,16 +62,16 @@
 
 private:
     //==============================================================================
-    void spread (Turn& turn, const InstanceName& from, const CrashNews& news) const;
+    void broadcast (Turn& turn, const InstanceName& from, const CrashNews& news) const;
     void logHeld (Turn& turn);
 
     const NodeId m_self;
     PeerTable& m_peers;
     CrashWatch m_watch;
     CrashLedger m_ledger;
-    Time m_forgotAt;
-    CrashNews m_untold;                          /**< learned here */
-    std::map<InstanceName, Time> m_differsSince; /**< peers whose digest differs */
+    Time m_lastExpiryAt;
+    CrashNews m_pendingNews;                      /**< found by this node and not yet sent */
+    std::map<InstanceName, Time> m_mismatchSince; /**< by peer; only peers whose digest differs */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
@@ -10,17 +10,17 @@
 namespace
 {
 
-/** Acquittals that are remembered: without one a late report of an older crash would count again. */
-constexpr std::size_t mostAcquittals = CrashLedger::mostSuspects;
+/** Acquittals are kept so that delayed reports of earlier crashes are ignored. */
+constexpr std::size_t maxAcquittals = CrashLedger::maxSuspects;
 
-Duration holdAfter (std::size_t crashes) noexcept
+Duration holdDuration (std::size_t crashes) noexcept
 {
-    auto hold = CrashLedger::firstHold;
+    auto hold = CrashLedger::initialHold;
 
-    for (auto more = crashes; more > CrashLedger::crashesToHold && hold < CrashLedger::longestHold; --more)
+    for (auto more = crashes; more > CrashLedger::holdThreshold && hold < CrashLedger::maxHold; --more)
         hold *= 2;
 
-    return std::min (hold, CrashLedger::longestHold);
+    return std::min (hold, CrashLedger::maxHold);
 }
 
 } // namespace
@@ -28,7 +28,7 @@
 //==============================================================================
 bool CrashLedger::learn (const CrashReport& report, Time now)
 {
-    if (report.m_age >= rememberedFor)
+    if (report.m_age >= retentionPeriod)
         return false;
 
     const auto [found, isNew] = m_crashes.try_emplace (report.m_id);
@@ -37,7 +37,7 @@
     if (isNew)
     {
         crash.m_at = now - report.m_age;
-        toggle (report.m_id, false);
+        toggleInDigest (report.m_id, false);
     }
 
     if (crash.m_isWithdrawn)
@@ -49,17 +49,17 @@
         return true;
     }
 
-    const auto before = m_blames;
+    const auto before = m_suspectCount;
 
     for (const auto content : report.m_suspects)
-        blame (report.m_id, crash, content);
+        addSuspect (report.m_id, crash, content);
 
-    const bool isNews = isNew || m_blames != before;
-    keepBound();
+    const bool isNews = isNew || m_suspectCount != before;
+    enforceSuspectLimit();
     return isNews;
 }
 
-void CrashLedger::blame (const CrashId& id, Crash& crash, ContentDigest content)
+void CrashLedger::addSuspect (const CrashId& id, Crash& crash, ContentDigest content)
 {
     const auto acquitted = m_acquitted.find (content);
     const bool isCleared = acquitted != m_acquitted.end() && crash.m_at <= acquitted->second;
@@ -67,12 +67,12 @@
     if (isCleared || ! crash.m_suspects.insert (content).second)
         return;
 
-    ++m_blames;
-    auto& blames = m_suspects[content];
-    blames.insert (id);
+    ++m_suspectCount;
+    auto& crashIds = m_suspects[content];
+    crashIds.insert (id);
 
-    if (blames.size() >= crashesToHold)
-        m_newlyHeld.emplace_back (content, blames.size());
+    if (crashIds.size() >= holdThreshold)
+        m_newlyHeld.emplace_back (content, crashIds.size());
 }
 
 void CrashLedger::withdraw (const CrashId& id, Crash& crash)
@@ -80,17 +80,16 @@
     const auto suspects = crash.m_suspects;
 
     for (const auto content : suspects)
-        clear (id, content);
+        removeSuspect (id, content);
 
-    toggle (id, false);
+    toggleInDigest (id, false);
     crash.m_isWithdrawn = true;
-    toggle (id, true);
+    toggleInDigest (id, true);
 }
 
-/** The crash speaks against the content no more. */
-void CrashLedger::clear (const CrashId& id, ContentDigest content)
+void CrashLedger::removeSuspect (const CrashId& id, ContentDigest content)
 {
-    m_blames -= m_crashes.at (id).m_suspects.erase (content);
+    m_suspectCount -= m_crashes.at (id).m_suspects.erase (content);
     const auto suspect = m_suspects.find (content);
 
     if (suspect == m_suspects.end())
@@ -105,7 +104,7 @@
 //==============================================================================
 bool CrashLedger::learn (const CrashAcquittal& acquittal, Time now)
 {
-    if (acquittal.m_age >= rememberedFor)
+    if (acquittal.m_age >= retentionPeriod)
         return false;
 
     const auto at = now - acquittal.m_age;
@@ -119,19 +118,19 @@
 
     if (const auto suspect = m_suspects.find (acquittal.m_content); suspect != m_suspects.end())
     {
-        const auto blames = suspect->second;
+        const auto crashIds = suspect->second;
 
-        for (const auto& id : blames)
+        for (const auto& id : crashIds)
         {
             if (m_crashes.at (id).m_at > at)
                 continue;
 
-            clear (id, acquittal.m_content);
+            removeSuspect (id, acquittal.m_content);
             isNews = true;
         }
     }
 
-    while (m_acquitted.size() > mostAcquittals)
+    while (m_acquitted.size() > maxAcquittals)
     {
         const auto oldest =
             std::min_element (m_acquitted.begin(), m_acquitted.end(),
@@ -144,14 +143,14 @@
 }
 
 //==============================================================================
-CrashJudgement CrashLedger::judge (ContentDigest content, Time now) const
+HoldStatus CrashLedger::judge (ContentDigest content, Time now) const
 {
     const auto found = m_suspects.find (content);
 
-    if (found == m_suspects.end() || found->second.size() < crashesToHold)
+    if (found == m_suspects.end() || found->second.size() < holdThreshold)
         return {};
 
-    const auto until = newestOf (found->second) + holdAfter (found->second.size());
+    const auto until = newestCrashTime (found->second) + holdDuration (found->second.size());
 
     if (now < until)
         return { Standing::held, until - now };
@@ -159,11 +158,11 @@
     return { Standing::onTrial, {} };
 }
 
-Time CrashLedger::newestOf (const Blames& blames) const
+Time CrashLedger::newestCrashTime (const CrashIds& crashIds) const
 {
     Time newest;
 
-    for (const auto& id : blames)
+    for (const auto& id : crashIds)
         newest = std::max (newest, m_crashes.at (id).m_at);
 
     return newest;
@@ -178,23 +177,23 @@
 {
     return static_cast<std::size_t> (
         std::count_if (m_suspects.begin(), m_suspects.end(),
-                       [] (const auto& entry) { return entry.second.size() >= crashesToHold; }));
+                       [] (const auto& entry) { return entry.second.size() >= holdThreshold; }));
 }
 
 //==============================================================================
-void CrashLedger::forgetOld (Time now)
+void CrashLedger::removeExpired (Time now)
 {
-    std::vector<CrashId> old;
+    std::vector<CrashId> expired;
 
     for (const auto& [id, crash] : m_crashes)
-        if (now - crash.m_at >= rememberedFor)
-            old.push_back (id);
+        if (now - crash.m_at >= retentionPeriod)
+            expired.push_back (id);
 
-    for (const auto& id : old)
-        forget (id);
+    for (const auto& id : expired)
+        remove (id);
 
     std::erase_if (m_acquitted, [&] (const auto& entry) {
-        if (now - entry.second < rememberedFor)
+        if (now - entry.second < retentionPeriod)
             return false;
 
         m_digest ^= rendezvousWeight (entry.first, "acquitted");
@@ -202,27 +201,27 @@
     });
 }
 
-void CrashLedger::forget (const CrashId& id)
+void CrashLedger::remove (const CrashId& id)
 {
     auto& crash = m_crashes.at (id);
     const auto suspects = crash.m_suspects;
 
     for (const auto content : suspects)
-        clear (id, content);
+        removeSuspect (id, content);
 
-    toggle (id, crash.m_isWithdrawn);
+    toggleInDigest (id, crash.m_isWithdrawn);
     m_crashes.erase (id);
 }
 
-void CrashLedger::keepBound()
+void CrashLedger::enforceSuspectLimit()
 {
-    while (m_blames > mostSuspects)
+    while (m_suspectCount > maxSuspects)
     {
         const auto oldest =
             std::min_element (m_crashes.begin(), m_crashes.end(), [] (const auto& one, const auto& other) {
                 return one.second.m_at < other.second.m_at;
             });
-        forget (CrashId (oldest->first));
+        remove (CrashId (oldest->first));
     }
 }
 
@@ -242,8 +241,8 @@
     return news;
 }
 
-/** Adds a crash in this state to the digest, or takes it out. */
-void CrashLedger::toggle (const CrashId& id, bool isWithdrawn) noexcept
+/** Adds a crash in the given state to the digest, or removes it if it is included already. */
+void CrashLedger::toggleInDigest (const CrashId& id, bool isWithdrawn) noexcept
 {
     const auto weight = rendezvousWeight (id.m_number, id.m_reporter.m_instance);
     m_digest ^= rendezvousWeight (weight + id.m_reporter.m_incarnation, isWithdrawn ? "withdrawn" : "ended");
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.h
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.h
@@ -10,40 +10,40 @@
 namespace plankledge
 {
 
-/** Whether a request may be sent to a target, by what is known of crashes under it. */
+/** Whether a request may be sent to a target, given the crashes it is suspected of. */
 enum class Standing : std::uint8_t
 {
     clear,
-    held,   /**< too many targets ended while they ran it */
-    onTrial /**< it was held for long: one target at a time may try whether it still crashes it */
+    held,   /**< too many targets crashed while running it */
+    onTrial /**< its hold has expired: one target at a time may run it, to see whether it still crashes */
 };
 
-/** What a CrashLedger says of a request. */
-struct CrashJudgement
+/** Whether a request is held, and for how long. */
+struct HoldStatus
 {
     Standing m_standing = Standing::clear;
-    Duration m_heldFor {}; /**< how much longer */
+    Duration m_heldFor {}; /**< remaining time of the hold */
 
-    auto operator<=> (const CrashJudgement&) const = default;
+    auto operator<=> (const HoldStatus&) const = default;
 };
 
 //==============================================================================
 /**
-    Remembers which requests ran at targets that ended, by the digest of what they ask.
+    Records which requests were running when targets crashed, by the digest of their content.
 
-    The load it answers: a request that crashes each target which begins to run it, and that
-    comes again under other ids at other nodes. It is held once three targets have ended under
-    it and none has run it to an end since.
+    Guards against a request that crashes every target that runs it and that is sent repeatedly, under
+    different ids and through different nodes. A request is held once three targets have crashed while
+    running it and none has completed it since.
 
-    Whoever ran beside it is a suspect, too: each target ends with all that it runs. A good end
-    anywhere clears a suspect, and what crashes its targets never has one. One crash or two hold nothing
-    back, since a caller's retries may take an innocent request through as many.
+    All requests that were running at a crashed target become suspects. A suspect is cleared when any target
+    completes it, which never happens to a request that always crashes its target. Fewer than three crashes
+    hold nothing, since the retries of a caller may expose an unrelated request to two of them.
 
-    A held request is tried again after five minutes, and after twice as long with each crash more: another
-    version of the target may have mended it.
+    A held request goes on trial after five minutes, in case the target has been fixed. Each further crash
+    doubles that time, up to an hour.
 
-    Nothing enters without a crash, so other requests can't push anything out; of very many
-    crashes the oldest are forgotten.
+    Only crashes add entries, so ordinary traffic can't evict any. When the number of suspects exceeds its
+    limit, the oldest crashes are removed.
 
     Not thread-safe.
 
@@ -53,45 +53,46 @@
 {
 public:
     //==============================================================================
-    /** Targets that end under a request before it is held. */
-    static constexpr std::size_t crashesToHold = 3;
+    /** Number of targets that crash while running a request before it is held. */
+    static constexpr std::size_t holdThreshold = 3;
 
-    static constexpr Duration firstHold = std::chrono::minutes (5);
-    static constexpr Duration longestHold = std::chrono::minutes (60);
+    static constexpr Duration initialHold = std::chrono::minutes (5);
+    static constexpr Duration maxHold = std::chrono::minutes (60);
 
-    /** Longer than any hold, so that the trial after it begins from what is known. */
-    static constexpr Duration rememberedFor = longestHold * 2;
+    /** Longer than any hold, so that the crashes are still known when the request goes on trial. */
+    static constexpr Duration retentionPeriod = maxHold * 2;
 
-    /** Suspects that are remembered, over all crashes: of targets with a hundred slots some 160 crashes.
-       1 MB here, and 128 KB in a message that tells all. */
-    static constexpr std::size_t mostSuspects = 16'384;
+    /** Limit on the suspects of all crashes together. About 1 MB in memory, and 128 KB in a message with the
+        complete ledger. */
+    static constexpr std::size_t maxSuspects = 16'384;
 
     //==============================================================================
-    /** @returns whether this is news here */
+    /** @returns whether the report added anything to the ledger */
     bool learn (const CrashReport& report, Time now);
 
-    /** @returns whether this is news here */
+    /** @returns whether the acquittal added anything to the ledger */
     bool learn (const CrashAcquittal& acquittal, Time now);
 
-    /** @returns whether a target ended under it, and none has run it to an end since */
+    /** @returns whether a target crashed while running the request and none has completed it since */
     bool isSuspect (ContentDigest content) const { return m_suspects.contains (content); }
 
-    CrashJudgement judge (ContentDigest content, Time now) const;
+    HoldStatus judge (ContentDigest content, Time now) const;
 
-    /** @returns contents that are held since the last call, each with the crashes under it */
+    /** @returns contents that have become held since the last call, each with its number of crashes */
     std::vector<std::pair<ContentDigest, std::size_t>> takeNewlyHeld();
 
-    void forgetOld (Time now);
+    /** Removes crashes and acquittals that are older than retentionPeriod. */
+    void removeExpired (Time now);
 
-    /** @returns all that is remembered, to be told to another node */
+    /** @returns the complete ledger, as a message to another node */
     CrashNews all (Time now) const;
 
-    /** @returns the same at nodes that remember the same; 0 where that is nothing */
+    /** @returns a digest that is equal for equal ledgers; 0 if the ledger is empty */
     std::uint64_t digest() const noexcept { return m_digest; }
 
     std::size_t crashes() const noexcept { return m_crashes.size(); }
 
-    /** @returns contents that may not be sent, those on trial included */
+    /** @returns the number of contents that are held or on trial */
     std::size_t held() const noexcept;
 
 private:
@@ -103,22 +104,22 @@
         std::set<ContentDigest> m_suspects;
     };
 
-    /** Crashes under one content, of which no good end cleared it. */
-    using Blames = std::set<CrashId>;
+    /** Crashes that one content is still suspected of. */
+    using CrashIds = std::set<CrashId>;
 
-    void blame (const CrashId& id, Crash& crash, ContentDigest content);
-    void clear (const CrashId& id, ContentDigest content);
+    void addSuspect (const CrashId& id, Crash& crash, ContentDigest content);
+    void removeSuspect (const CrashId& id, ContentDigest content);
     void withdraw (const CrashId& id, Crash& crash);
-    void forget (const CrashId& id);
-    void keepBound();
-    Time newestOf (const Blames& blames) const;
-    void toggle (const CrashId& id, bool isWithdrawn) noexcept;
+    void remove (const CrashId& id);
+    void enforceSuspectLimit();
+    Time newestCrashTime (const CrashIds& crashIds) const;
+    void toggleInDigest (const CrashId& id, bool isWithdrawn) noexcept;
 
     std::map<CrashId, Crash> m_crashes;
-    std::map<ContentDigest, Blames> m_suspects;
+    std::map<ContentDigest, CrashIds> m_suspects;
     std::map<ContentDigest, Time> m_acquitted;
     std::vector<std::pair<ContentDigest, std::size_t>> m_newlyHeld;
-    std::size_t m_blames = 0; /**< suspects over all crashes */
+    std::size_t m_suspectCount = 0; /**< total over all crashes */
     std::uint64_t m_digest = 0;
 };
 
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashWatch.cpp
@@ -9,21 +9,20 @@
 namespace
 {
 
-/** Contents that ended well, of which the newest are remembered: those of a minute at 70 calls a second, in
-    32 KB. */
-constexpr std::size_t mostEndedWell = 4096;
+/** Slots of the table of completed contents: 32 KB, about a minute of traffic at 70 calls per second. */
+constexpr std::size_t completedTableSize = 4096;
 
 } // namespace
 
 //==============================================================================
 CrashWatch::CrashWatch()
-    : m_endedWell (mostEndedWell)
+    : m_completedContents (completedTableSize)
 {
 }
 
-bool CrashWatch::hasEndedWell (ContentDigest content) const noexcept
+bool CrashWatch::hasCompleted (ContentDigest content) const noexcept
 {
-    return m_endedWell[content % mostEndedWell] == content;
+    return m_completedContents[content % completedTableSize] == content;
 }
 
 void CrashWatch::onBroken (ContentDigest content, Time now)
@@ -31,43 +30,43 @@
     if (m_isLeaving)
         return;
 
-    if (! m_break.has_value())
-        m_break = Break { m_next++, now, {}, false, false, true };
+    if (! m_suspectedCrash.has_value())
+        m_suspectedCrash = SuspectedCrash { m_nextNumber++, now, {}, false, false, true };
 
-    auto& suspects = m_break->m_suspects;
+    auto& suspects = m_suspectedCrash->m_suspects;
 
-    if (hasEndedWell (content) || std::find (suspects.begin(), suspects.end(), content) != suspects.end())
+    if (hasCompleted (content) || std::find (suspects.begin(), suspects.end(), content) != suspects.end())
         return;
 
     suspects.push_back (content);
-    m_break->m_hasMore = true;
+    m_suspectedCrash->m_hasUnreported = true;
 }
 
 void CrashWatch::onAnswered (ContentDigest content, Time now)
 {
-    m_endedWell[content % mostEndedWell] = content;
+    m_completedContents[content % completedTableSize] = content;
 
-    if (mayBeRefuted() && now - m_break->m_at >= underWay)
-        refute();
+    if (canWithdraw() && now - m_suspectedCrash->m_at >= answerGrace)
+        withdraw();
 }
 
-/** Where connections were refused nobody listened any more: whoever answers after that is another life, and
-   may announce itself seconds later. */
-bool CrashWatch::mayBeRefuted() const noexcept
+/** Once a connection was refused the process is gone: any later answer comes from a new incarnation, which
+    may announce itself only seconds later. */
+bool CrashWatch::canWithdraw() const noexcept
 {
-    return m_break.has_value() && ! m_break->m_isCertain;
+    return m_suspectedCrash.has_value() && ! m_suspectedCrash->m_isConfirmed;
 }
 
 void CrashWatch::onRefusedConnection() noexcept
 {
-    if (m_break.has_value())
-        m_break->m_isCertain = true;
+    if (m_suspectedCrash.has_value())
+        m_suspectedCrash->m_isConfirmed = true;
 }
 
 void CrashWatch::onAnnounced (Time now)
 {
-    if (mayBeRefuted() && now - m_break->m_at >= announcedLate)
-        refute();
+    if (canWithdraw() && now - m_suspectedCrash->m_at >= announcementGrace)
+        withdraw();
 }
 
 void CrashWatch::onNewLife (const std::vector<ContentDigest>& running, Time now)
@@ -75,36 +74,38 @@
     for (const auto content : running)
         onBroken (content, now);
 
-    if (m_break.has_value() && ! m_isLeaving)
-        conclude();
+    if (m_suspectedCrash.has_value() && ! m_isLeaving)
+        report();
 
-    m_break.reset();
+    m_suspectedCrash.reset();
     m_isLeaving = false;
-    std::fill (m_endedWell.begin(), m_endedWell.end(), 0);
+    std::fill (m_completedContents.begin(), m_completedContents.end(), 0);
 }
 
-/** The target lives. */
-void CrashWatch::refute()
+/** Drops the suspected crash, since the target is still running. */
+void CrashWatch::withdraw()
 {
-    if (m_break->m_isTold)
-        m_findings.push_back ({ m_break->m_number, m_break->m_at, true, {} });
+    if (m_suspectedCrash->m_isReported)
+        m_findings.push_back ({ m_suspectedCrash->m_number, m_suspectedCrash->m_at, true, {} });
 
-    m_break.reset();
+    m_suspectedCrash.reset();
 }
 
-void CrashWatch::conclude()
+void CrashWatch::report()
 {
-    if (! std::exchange (m_break->m_hasMore, false))
+    if (! std::exchange (m_suspectedCrash->m_hasUnreported, false))
         return;
 
-    m_break->m_isTold = true;
-    m_findings.push_back ({ m_break->m_number, m_break->m_at, false, m_break->m_suspects });
+    m_suspectedCrash->m_isReported = true;
+    m_findings.push_back (
+        { m_suspectedCrash->m_number, m_suspectedCrash->m_at, false, m_suspectedCrash->m_suspects });
 }
 
 std::vector<CrashWatch::Finding> CrashWatch::takeFindings (Time now)
 {
-    if (m_break.has_value() && (m_break->m_isCertain || now - m_break->m_at >= settling))
-        conclude();
+    if (m_suspectedCrash.has_value() &&
+        (m_suspectedCrash->m_isConfirmed || now - m_suspectedCrash->m_at >= confirmationDelay))
+        report();
 
     return std::exchange (m_findings, {});
 }
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.h
+++ b/modules/plankledge_policy/relay/crashes/CrashWatch.h
@@ -11,17 +11,17 @@
 
 //==============================================================================
 /**
-    Tells from what the gate sees whether the own target has ended with requests running,
-    and which of them are to blame for it.
+    Detects crashes of this node's own target from the events at its gate, and determines the suspects
+    among the requests that were running.
 
-    A connection that breaks off is no crash by itself: answers are lost, and connections are
-    reset. It is one unless the target shows within a while that it lives, by another whole answer
-    or by announcing itself; a refused connection or another life of the target settles it. A target that
-   has said that it leaves may end at any time, and what runs there then is not to blame.
+    A broken connection alone does not prove a crash, since answers get lost and connections get reset. It
+    counts as a crash unless the target shows soon afterwards that it is still running, with another complete
+    answer or an announcement. A refused connection or a new incarnation of the target confirms the crash. A
+    target that has announced that it is leaving may exit at any time, which is not a crash.
 
-    Not to blame is a request of which the same life of the target ran one to its end before: what crashes
-    a target never has a good end. So popular requests, of which some run at any time, are
-    not blamed for each crash of a bad hour.
+    A request that the same incarnation of the target has completed before is not a suspect, since a request
+    that crashes its target never completes. This excludes popular requests, which are running at almost any
+    time.
 
     Not thread-safe.
 */
@@ -29,22 +29,24 @@
 {
 public:
     //==============================================================================
-    /** Whole answers that come so soon after a break may have been under way when the target ended. */
-    static constexpr Duration underWay = Milliseconds (50);
+    /** A complete answer that arrives this soon after a broken connection may have been sent before the
+        crash. */
+    static constexpr Duration answerGrace = Milliseconds (50);
 
-    /** A break that nothing refutes counts as a crash after this: other answers of a busy target come sooner.
-     */
-    static constexpr Duration settling = Milliseconds (300);
+    /** A broken connection counts as a crash after this time. Long enough for a busy target that is still
+        running to answer another request. */
+    static constexpr Duration confirmationDelay = Milliseconds (300);
 
-    /** An announcement may have been under way for so long. */
-    static constexpr Duration announcedLate = std::chrono::seconds (2);
+    /** An announcement that arrives this soon after a broken connection may have been sent before the
+        crash. */
+    static constexpr Duration announcementGrace = std::chrono::seconds (2);
 
-    /** What became known of a crash. */
+    /** New information about a crash. */
     struct Finding
     {
-        std::uint64_t m_number = 0; /**< the crash; the same in all findings about it */
-        Time m_at;                  /**< when the first request broke off */
-        bool m_isWithdrawn = false; /**< the target lives */
+        std::uint64_t m_number = 0; /**< identifies the crash; equal in all findings about it */
+        Time m_at;                  /**< when the first connection broke */
+        bool m_isWithdrawn = false; /**< the target turned out to be still running */
         std::vector<ContentDigest> m_suspects;
 
         auto operator<=> (const Finding&) const = default;
@@ -53,52 +55,55 @@
     CrashWatch();
 
     //==============================================================================
-    /** A request that ran at the target broke off without a whole answer. */
+    /** The connection of a running request broke before its answer was complete. */
     void onBroken (ContentDigest content, Time now);
 
-    /** The target gave its whole answer. */
+    /** The target answered a request completely. */
     void onAnswered (ContentDigest content, Time now);
 
     /** The target refused a connection. */
     void onRefusedConnection() noexcept;
 
-    /** Another life of the target began.
+    /** A new incarnation of the target has started.
 
-        @param running   what still ran in the life before
+        @param running   requests that were still running in the previous incarnation
     */
     void onNewLife (const std::vector<ContentDigest>& running, Time now);
 
-    /** The target announced itself, in the life that is known. */
+    /** The known incarnation of the target announced itself. */
     void onAnnounced (Time now);
 
-    /** The target said that it leaves. */
+    /** The target announced that it is leaving. */
     void onLeaving() noexcept { m_isLeaving = true; }
 
-    /** @returns what became known since the last call; called every 100 ms */
+    /** @returns the findings since the last call; called every 100 ms */
     std::vector<Finding> takeFindings (Time now);
 
 private:
     //==============================================================================
-    /** Requests that broke off in one life of the target. */
-    struct Break
+    /** A crash that is confirmed, reported or still in doubt. */
+    struct SuspectedCrash
     {
         std::uint64_t m_number = 0;
         Time m_at;
         std::vector<ContentDigest> m_suspects;
-        bool m_isCertain = false; /**< connections are refused */
-        bool m_isTold = false;
-        bool m_hasMore = true; /**< than was told */
+        bool m_isConfirmed = false; /**< the target refused a connection since */
+        bool m_isReported = false;
+        bool m_hasUnreported = true; /**< the crash itself, or suspects found since its last report */
     };
 
-    void refute();
-    void conclude();
-    bool hasEndedWell (ContentDigest content) const noexcept;
-    bool mayBeRefuted() const noexcept;
+    void withdraw();
+    void report();
+    bool hasCompleted (ContentDigest content) const noexcept;
+    bool canWithdraw() const noexcept;
 
-    std::optional<Break> m_break; /**< of the present life */
+    std::optional<SuspectedCrash> m_suspectedCrash; /**< of the current incarnation */
     std::vector<Finding> m_findings;
-    std::vector<ContentDigest> m_endedWell; /**< of the present life, the newest that has its place */
-    std::uint64_t m_next = 1;
+    /** Of the current incarnation. A hash table in which a newer content replaces an older one in its slot.
+     */
+    std::vector<ContentDigest> m_completedContents;
+
+    std::uint64_t m_nextNumber = 1;
     bool m_isLeaving = false;
 };
 
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashLedger_test.cpp
@@ -14,8 +14,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr ContentDigest deadly = 7;
-constexpr ContentDigest innocent = 8;
+constexpr ContentDigest crashing = 7;
+constexpr ContentDigest unrelated = 8;
 const Time start { std::chrono::hours (1000) };
 
 CrashReport crash (std::uint64_t number, std::vector<ContentDigest> suspects, Duration age = {})
@@ -28,13 +28,13 @@
     return { { { "node", 1 }, number }, {}, true, {} };
 }
 
-/** @returns a ledger that knows of so many crashes under the deadly request, one second after the other */
-CrashLedger after (std::uint64_t crashes)
+/** @returns a ledger with so many crashes of targets that ran the crashing request, one second apart */
+CrashLedger ledgerAfter (std::uint64_t crashes)
 {
     CrashLedger ledger;
 
     for (std::uint64_t number = 0; number < crashes; ++number)
-        ledger.learn (crash (number, { deadly }), start + seconds (number));
+        ledger.learn (crash (number, { crashing }), start + seconds (number));
 
     return ledger;
 }
@@ -42,56 +42,56 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a request is held from the third crash on, and what ran beside one of them is not")
+TEST_CASE ("a request is held after the third crash, and one that ran beside it in only two of them is not")
 {
     CrashLedger ledger;
-    ledger.learn (crash (1, { deadly, innocent }), start);
-    ledger.learn (crash (2, { deadly, innocent }), start);
-    CHECK (ledger.judge (deadly, start).m_standing == Standing::clear);
-    ledger.learn (crash (3, { deadly }), start);
-    CHECK (ledger.judge (deadly, start).m_standing == Standing::held);
-    CHECK (ledger.judge (innocent, start).m_standing == Standing::clear);
+    ledger.learn (crash (1, { crashing, unrelated }), start);
+    ledger.learn (crash (2, { crashing, unrelated }), start);
+    CHECK (ledger.judge (crashing, start).m_standing == Standing::clear);
+    ledger.learn (crash (3, { crashing }), start);
+    CHECK (ledger.judge (crashing, start).m_standing == Standing::held);
+    CHECK (ledger.judge (unrelated, start).m_standing == Standing::clear);
     CHECK (ledger.held() == 1);
 }
 
-TEST_CASE ("one crash counts once, however often it is told")
+TEST_CASE ("a crash counts once, however often it is reported")
 {
     CrashLedger ledger;
-    CHECK (ledger.learn (crash (1, { deadly }), start));
-    CHECK (! ledger.learn (crash (1, { deadly }), start));
-    CHECK (ledger.learn (crash (1, { deadly, innocent }), start));
-    CHECK (ledger.judge (deadly, start).m_standing == Standing::clear);
-    CHECK (ledger.isSuspect (innocent));
+    CHECK (ledger.learn (crash (1, { crashing }), start));
+    CHECK (! ledger.learn (crash (1, { crashing }), start));
+    CHECK (ledger.learn (crash (1, { crashing, unrelated }), start));
+    CHECK (ledger.judge (crashing, start).m_standing == Standing::clear);
+    CHECK (ledger.isSuspect (unrelated));
 }
 
-TEST_CASE ("a crash that is withdrawn speaks against nobody, also where its report comes later")
+TEST_CASE ("a withdrawn crash has no suspects, even if its report arrives after the withdrawal")
 {
-    auto ledger = after (3);
+    auto ledger = ledgerAfter (3);
     CHECK (ledger.learn (withdrawal (1), start + seconds (3)));
-    CHECK (ledger.judge (deadly, start + seconds (3)).m_standing == Standing::clear);
-    CHECK (! ledger.learn (crash (1, { deadly }), start + seconds (3)));
-    CHECK (ledger.judge (deadly, start + seconds (3)).m_standing == Standing::clear);
+    CHECK (ledger.judge (crashing, start + seconds (3)).m_standing == Standing::clear);
+    CHECK (! ledger.learn (crash (1, { crashing }), start + seconds (3)));
+    CHECK (ledger.judge (crashing, start + seconds (3)).m_standing == Standing::clear);
 }
 
-TEST_CASE ("a good end clears of what was before it, and not of what comes after")
+TEST_CASE ("completing a request clears it of earlier crashes, not of later ones")
 {
-    auto ledger = after (3);
+    auto ledger = ledgerAfter (3);
     const auto now = start + seconds (10);
-    CHECK (ledger.learn (CrashAcquittal { deadly, {} }, now));
-    CHECK (ledger.judge (deadly, now).m_standing == Standing::clear);
-    CHECK (! ledger.isSuspect (deadly));
+    CHECK (ledger.learn (CrashAcquittal { crashing, {} }, now));
+    CHECK (ledger.judge (crashing, now).m_standing == Standing::clear);
+    CHECK (! ledger.isSuspect (crashing));
 
-    // A report that was long under way is of before the good end.
-    ledger.learn (crash (20, { deadly }, seconds (5)), now);
-    CHECK (! ledger.isSuspect (deadly));
+    // A delayed report of a crash before the acquittal.
+    ledger.learn (crash (20, { crashing }, seconds (5)), now);
+    CHECK (! ledger.isSuspect (crashing));
 
     for (std::uint64_t number = 30; number < 33; ++number)
-        ledger.learn (crash (number, { deadly }), now + seconds (1));
+        ledger.learn (crash (number, { crashing }), now + seconds (1));
 
-    CHECK (ledger.judge (deadly, now + seconds (1)).m_standing == Standing::held);
+    CHECK (ledger.judge (crashing, now + seconds (1)).m_standing == Standing::held);
 }
 
-TEST_CASE ("a hold ends in a trial, and lasts twice as long with each crash more")
+TEST_CASE ("a hold ends in a trial, and each further crash doubles it up to the limit")
 {
     struct Row
     {
@@ -103,48 +103,48 @@
                              Row { 7, minutes (60) }, Row { 40, minutes (60) } })
     {
         CAPTURE (row.m_crashes);
-        const auto ledger = after (row.m_crashes);
+        const auto ledger = ledgerAfter (row.m_crashes);
         const auto newest = start + seconds (row.m_crashes - 1);
         const auto last = newest + row.m_hold;
-        CHECK (ledger.judge (deadly, newest) == CrashJudgement { Standing::held, row.m_hold });
-        CHECK (ledger.judge (deadly, last - Duration (1)).m_standing == Standing::held);
-        CHECK (ledger.judge (deadly, last).m_standing == Standing::onTrial);
+        CHECK (ledger.judge (crashing, newest) == HoldStatus { Standing::held, row.m_hold });
+        CHECK (ledger.judge (crashing, last - Duration (1)).m_standing == Standing::held);
+        CHECK (ledger.judge (crashing, last).m_standing == Standing::onTrial);
     }
 }
 
-TEST_CASE ("what is remembered has a bound, and the oldest crashes are forgotten first")
+TEST_CASE ("the number of suspects is limited, and the oldest crashes are removed first")
 {
     CrashLedger ledger;
-    constexpr std::uint64_t suspectsEach = 100;
+    constexpr std::uint64_t suspectsPerCrash = 100;
     constexpr std::uint64_t crashes = 400;
 
     for (std::uint64_t number = 0; number < crashes; ++number)
     {
         std::vector<ContentDigest> suspects;
 
-        for (std::uint64_t index = 0; index < suspectsEach; ++index)
-            suspects.push_back (1000 + number * suspectsEach + index);
+        for (std::uint64_t index = 0; index < suspectsPerCrash; ++index)
+            suspects.push_back (1000 + number * suspectsPerCrash + index);
 
         ledger.learn (crash (number, suspects), start + seconds (number));
     }
 
-    CHECK (ledger.crashes() == CrashLedger::mostSuspects / suspectsEach);
+    CHECK (ledger.crashes() == CrashLedger::maxSuspects / suspectsPerCrash);
     CHECK (! ledger.isSuspect (1000));
-    CHECK (ledger.isSuspect (1000 + crashes * suspectsEach - 1));
-    ledger.forgetOld (start + CrashLedger::rememberedFor + seconds (crashes));
+    CHECK (ledger.isSuspect (1000 + crashes * suspectsPerCrash - 1));
+    ledger.removeExpired (start + CrashLedger::retentionPeriod + seconds (crashes));
     CHECK (ledger.crashes() == 0);
     CHECK (ledger.digest() == 0);
 }
 
-TEST_CASE ("nodes that hear the same news in any order remember the same")
+TEST_CASE ("nodes that receive the same reports in any order end up with equal ledgers")
 {
-    using News = std::variant<CrashReport, CrashAcquittal>;
+    using Message = std::variant<CrashReport, CrashAcquittal>;
 
     for (std::uint64_t seed = 1; seed <= 300; ++seed)
     {
         CAPTURE (seed);
         Random random { seed };
-        std::vector<std::pair<News, Time>> news;
+        std::vector<std::pair<Message, Time>> messages;
 
         for (std::uint64_t number = 0; number < 12; ++number)
         {
@@ -152,40 +152,40 @@
             const auto content = random.below (3) + 1;
 
             if (random.below (4) == 0)
-                news.emplace_back (CrashAcquittal { content, {} }, at);
+                messages.emplace_back (CrashAcquittal { content, {} }, at);
             else
-                news.emplace_back (crash (number, { content, random.below (3) + 1 }), at);
+                messages.emplace_back (crash (number, { content, random.below (3) + 1 }), at);
 
             if (random.below (5) == 0)
-                news.emplace_back (withdrawal (number), at);
+                messages.emplace_back (withdrawal (number), at);
         }
 
         const auto end = start + minutes (1);
-        const auto hear = [&] {
+        const auto replay = [&] {
             CrashLedger ledger;
 
-            for (const auto& [item, at] : news)
+            for (const auto& [item, at] : messages)
                 std::visit (
-                    [&, when = at] (auto told) {
-                        told.m_age = end - when;
-                        ledger.learn (told, end);
+                    [&, when = at] (auto received) {
+                        received.m_age = end - when;
+                        ledger.learn (received, end);
                     },
                     item);
 
             return ledger;
         };
-        const auto one = hear();
+        const auto one = replay();
 
-        for (std::size_t index = news.size(); index > 1; --index)
-            std::swap (news[index - 1], news[random.below (index)]);
+        for (std::size_t index = messages.size(); index > 1; --index)
+            std::swap (messages[index - 1], messages[random.below (index)]);
 
-        const auto other = hear();
+        const auto other = replay();
         CHECK (one.digest() == other.digest());
 
         for (ContentDigest content = 1; content <= 3; ++content)
             CHECK (one.judge (content, end) == other.judge (content, end));
 
-        // What one tells whole leads a node that knew nothing to the same.
+        // A node with an empty ledger that receives the complete one ends up with the same digest.
         CrashLedger third;
         const auto all = one.all (end);
 
--- a/tests/relay/crashes/CrashWatch_test.cpp
+++ b/tests/relay/crashes/CrashWatch_test.cpp
@@ -15,14 +15,14 @@
 constexpr Duration window = Milliseconds (100);
 const Time start { std::chrono::hours (1) };
 
-/** What a watch finds when things happen to its target, looked at every 100 ms as at a node. */
-struct Watched
+/** A CrashWatch whose findings are collected every 100 ms, as a node does. */
+struct WatchHarness
 {
     CrashWatch m_watch;
     Time m_now = start;
     std::vector<CrashWatch::Finding> m_findings;
 
-    void pass (Duration duration)
+    void advance (Duration duration)
     {
         for (const auto end = m_now + duration; m_now < end;)
         {
@@ -32,128 +32,127 @@
         }
     }
 
-    void breakOff (ContentDigest content) { m_watch.onBroken (content, m_now); }
+    void breakConnection (ContentDigest content) { m_watch.onBroken (content, m_now); }
     void answer (ContentDigest content) { m_watch.onAnswered (content, m_now); }
     void announce() { m_watch.onAnnounced (m_now); }
-    void begin (const std::vector<ContentDigest>& running = {}) { m_watch.onNewLife (running, m_now); }
+    void restart (const std::vector<ContentDigest>& running = {}) { m_watch.onNewLife (running, m_now); }
 };
 
-/** What is known in the end: whom the last finding blames. */
-using Blamed = std::vector<ContentDigest>;
+using Suspects = std::vector<ContentDigest>;
 
 struct Row
 {
     const char* m_name;
-    std::function<void (Watched&)> m_happens;
-    Blamed m_blamed;
+    std::function<void (WatchHarness&)> m_scenario;
+    Suspects m_suspects; /**< of the last finding */
     bool m_isWithdrawn = false;
 };
 
 const std::vector<Row> rows {
-    { "an answer is lost while others come",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (Milliseconds (60));
-          it.answer (second);
-          it.pass (std::chrono::seconds (3));
+    { "one answer is lost while others arrive",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (Milliseconds (60));
+          harness.answer (second);
+          harness.advance (std::chrono::seconds (3));
       },
       {} },
-    { "answers that were under way come just after the target ended",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (Milliseconds (10));
-          it.answer (second);
-          it.pass (std::chrono::seconds (1));
+    { "an answer sent before the crash arrives just after it",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (Milliseconds (10));
+          harness.answer (second);
+          harness.advance (std::chrono::seconds (1));
       },
       { first } },
-    { "the target ends with two requests and refuses connections",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.breakOff (second);
-          it.m_watch.onRefusedConnection();
-          it.pass (window);
+    { "the target crashes with two requests running and refuses connections",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.breakConnection (second);
+          harness.m_watch.onRefusedConnection();
+          harness.advance (window);
       },
       { first, second } },
-    { "a request breaks off at a quiet target",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (CrashWatch::settling);
+    { "a connection breaks at an idle target",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (CrashWatch::confirmationDelay);
       },
       { first } },
-    { "a quiet target that lost an answer announces itself later",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (CrashWatch::announcedLate);
-          it.announce();
-          it.pass (window);
+    { "an idle target that lost an answer announces itself later",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (CrashWatch::announcementGrace);
+          harness.announce();
+          harness.advance (window);
       },
       {},
       true },
-    { "an announcement of the target that ended comes late",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (std::chrono::seconds (1));
-          it.announce();
-          it.pass (std::chrono::seconds (1));
-          it.begin();
-          it.pass (window);
+    { "an announcement sent before the crash arrives after it",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (std::chrono::seconds (1));
+          harness.announce();
+          harness.advance (std::chrono::seconds (1));
+          harness.restart();
+          harness.advance (window);
       },
       { first } },
-    { "another life answers before it announces itself",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.m_watch.onRefusedConnection();
-          it.pass (window);
-          it.answer (second);
-          it.pass (window);
+    { "the new incarnation answers before it announces itself",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.m_watch.onRefusedConnection();
+          harness.advance (window);
+          harness.answer (second);
+          harness.advance (window);
       },
       { first } },
-    { "another life begins at once",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.begin();
-          it.answer (second);
-          it.pass (window);
+    { "the new incarnation starts at once",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.restart();
+          harness.answer (second);
+          harness.advance (window);
       },
       { first } },
-    { "it went silent with a request, and another life begins",
-      [] (Watched& it) {
-          it.begin ({ first });
-          it.pass (window);
+    { "the target goes silent with a request running, and a new incarnation starts",
+      [] (WatchHarness& harness) {
+          harness.restart ({ first });
+          harness.advance (window);
       },
       { first } },
-    { "a target that leaves ends with what it runs",
-      [] (Watched& it) {
-          it.m_watch.onLeaving();
-          it.breakOff (first);
-          it.begin ({ second });
-          it.pass (std::chrono::seconds (1));
+    { "a leaving target exits with requests running",
+      [] (WatchHarness& harness) {
+          harness.m_watch.onLeaving();
+          harness.breakConnection (first);
+          harness.restart ({ second });
+          harness.advance (std::chrono::seconds (1));
       },
       {} },
-    { "a popular request ran beside the one that crashed it",
-      [] (Watched& it) {
-          it.answer (popular);
-          it.pass (std::chrono::seconds (1));
-          it.breakOff (popular);
-          it.breakOff (first);
-          it.m_watch.onRefusedConnection();
-          it.pass (window);
+    { "a popular request ran beside the one that crashed the target",
+      [] (WatchHarness& harness) {
+          harness.answer (popular);
+          harness.advance (std::chrono::seconds (1));
+          harness.breakConnection (popular);
+          harness.breakConnection (first);
+          harness.m_watch.onRefusedConnection();
+          harness.advance (window);
       },
       { first } },
-    { "a request that ended well in the life before crashes the next one",
-      [] (Watched& it) {
-          it.answer (popular);
-          it.begin();
-          it.breakOff (popular);
-          it.pass (CrashWatch::settling);
+    { "a request that the previous incarnation completed crashes the next one",
+      [] (WatchHarness& harness) {
+          harness.answer (popular);
+          harness.restart();
+          harness.breakConnection (popular);
+          harness.advance (CrashWatch::confirmationDelay);
       },
       { popular } },
-    { "more breaks off after the crash was told",
-      [] (Watched& it) {
-          it.breakOff (first);
-          it.pass (CrashWatch::settling);
-          it.breakOff (second);
-          it.pass (window);
+    { "another connection breaks after the crash was reported",
+      [] (WatchHarness& harness) {
+          harness.breakConnection (first);
+          harness.advance (CrashWatch::confirmationDelay);
+          harness.breakConnection (second);
+          harness.advance (window);
       },
       { first, second } },
 };
@@ -161,32 +160,32 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("whom a target's end is blamed on, by what is seen of it")
+TEST_CASE ("the suspects of a crash follow from the events at the target")
 {
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
-        Watched watched;
-        row.m_happens (watched);
-        const auto& findings = watched.m_findings;
-        CHECK ((findings.empty() ? Blamed() : findings.back().m_suspects) == row.m_blamed);
+        WatchHarness harness;
+        row.m_scenario (harness);
+        const auto& findings = harness.m_findings;
+        CHECK ((findings.empty() ? Suspects() : findings.back().m_suspects) == row.m_suspects);
         CHECK ((! findings.empty() && findings.back().m_isWithdrawn) == row.m_isWithdrawn);
     }
 }
 
-TEST_CASE ("each crash has a number of its own, and findings about one have the same")
+TEST_CASE ("each crash has its own number, which all findings about it share")
 {
-    Watched watched;
-    watched.breakOff (first);
-    watched.pass (CrashWatch::settling);
-    watched.breakOff (second);
-    watched.pass (window);
-    watched.begin();
-    watched.breakOff (first);
-    watched.pass (CrashWatch::settling);
-    REQUIRE (watched.m_findings.size() == 3);
-    CHECK (watched.m_findings[0].m_number == watched.m_findings[1].m_number);
-    CHECK (watched.m_findings[1].m_number != watched.m_findings[2].m_number);
+    WatchHarness harness;
+    harness.breakConnection (first);
+    harness.advance (CrashWatch::confirmationDelay);
+    harness.breakConnection (second);
+    harness.advance (window);
+    harness.restart();
+    harness.breakConnection (first);
+    harness.advance (CrashWatch::confirmationDelay);
+    REQUIRE (harness.m_findings.size() == 3);
+    CHECK (harness.m_findings[0].m_number == harness.m_findings[1].m_number);
+    CHECK (harness.m_findings[1].m_number != harness.m_findings[2].m_number);
 }
 
 } // namespace plankledge::test
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -5,17 +5,8 @@
 #include <cstdlib>
 #include <doctest/doctest.h>
 
-/*  One request crashed each target that began to run it. Its sender asked again and again, each time under
-   another id and at another node. No node knew it again: five targets ended within 1.3 s, and each that came
-   back was given the same request at once, with all that waited, and ended some 110 ms later. 33 targets
-   ended under one request; of some 175 searches a second 2, 21 and 14 were served in the worst seconds.
-
-    The nodes said "request-given-up" with "reason":"target-broken","arrivals":"1" 720 of 741 times: each took
-   it for a request of its own, and few of the sendings were second ones of ours.
-
-   What makes two requests the same to a target is what they ask. Nodes remember that of targets that end, and
-   tell each other: of 139 sendings after it was known none is left, and 0.87 of the other requests are served
-   in 20 s where 0.01 were. */
+/*  Guards against a repeated request that crashes every target that runs it. Sent under a new id and to
+   another node each time, it used to be passed on until all targets of the service had crashed. */
 namespace plankledge::test
 {
 
@@ -24,18 +15,18 @@
 
 using std::chrono::seconds;
 
-/** After the third crash the nodes have this long to learn of it, by the operators' rules. */
-constexpr Duration contactTime = seconds (3);
+/** All nodes must know of the third crash within this time. */
+constexpr Duration propagationLimit = seconds (3);
 
-/** A request under which three targets have ended reaches targets at most so often after that. */
-constexpr std::size_t mostSendingsAfter = 3;
+/** How often a request may still reach targets after that. */
+constexpr std::size_t maxRunsAfter = 3;
 
-const std::string deadlyPath (CrashSite::deadly);
+const std::string crashingPath (CrashSite::deadly);
 
-/** The site of the report: five targets of fifteen nodes, 200 searches a second. */
-struct ReportedSite : CrashSite
+/** A fleet of fifteen nodes, five of which have targets. */
+struct SmallSite : CrashSite
 {
-    ReportedSite()
+    SmallSite()
         : CrashSite (5, 10)
     {
     }
@@ -44,57 +35,58 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a request that crashes its targets is kept from them, wherever it comes in and under whatever id")
+TEST_CASE ("a request that crashes its targets is held, whichever node it arrives at and whatever its id")
 {
-    ReportedSite site;
+    SmallSite site;
     site.runUnderLoad (seconds (2), 200);
-    const auto during = site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (deadlyPath); });
+    const auto during = site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (crashingPath); });
     REQUIRE (site.crashes().size() >= 3);
-    const auto known = site.crashes()[2] + contactTime;
-    const auto runs = site.runsOfPath (deadlyPath);
+    const auto known = site.crashes()[2] + propagationLimit;
+    const auto runs = site.runsOfPath (crashingPath);
     CHECK (std::count_if (runs.begin(), runs.end(), [known] (Time at) { return at > known; }) <=
-           static_cast<std::ptrdiff_t> (mostSendingsAfter));
+           static_cast<std::ptrdiff_t> (maxRunsAfter));
 
-    // All five may have ended before the third was known; from then on the others lose nothing.
-    const auto after = site.runUnderLoad (seconds (5), 200, [&] { site.sendAnywhere (deadlyPath); });
+    // All five targets may have crashed before the third crash was known. After that no other request fails.
+    const auto after = site.runUnderLoad (seconds (5), 200, [&] { site.sendAnywhere (crashingPath); });
     site.runUnderLoad (seconds (1), 0);
     CHECK (site.servedShare (after) >= 0.99);
     CHECK (site.servedShare (during) >= 0.75);
-    CHECK (site.crashes().size() <= site.targets().size() + mostSendingsAfter);
-    MESSAGE (site.crashes().size(), " targets ended, served meanwhile: ", site.servedShare (during));
+    CHECK (site.crashes().size() <= site.targets().size() + maxRunsAfter);
+    MESSAGE (site.crashes().size(),
+             " crashes, share of other requests served meanwhile: ", site.servedShare (during));
 }
 
-TEST_CASE ("targets that serve before they announce their new life don't hide the crash of the one before")
+TEST_CASE ("a crash is detected even if the new incarnation serves requests before it announces itself")
 {
-    ReportedSite site;
+    SmallSite site;
     site.announceLate (seconds (1));
-    site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (deadlyPath); });
-    const auto known = site.crashes().at (2) + contactTime;
-    const auto runs = site.runsOfPath (deadlyPath);
+    site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (crashingPath); });
+    const auto known = site.crashes().at (2) + propagationLimit;
+    const auto runs = site.runsOfPath (crashingPath);
     CHECK (std::count_if (runs.begin(), runs.end(), [known] (Time at) { return at > known; }) <=
-           static_cast<std::ptrdiff_t> (mostSendingsAfter));
+           static_cast<std::ptrdiff_t> (maxRunsAfter));
 }
 
 //==============================================================================
-TEST_CASE ("what is held is refused as not run, with the time until it is tried again")
+TEST_CASE ("a held request is refused as not run, with the time until its trial")
 {
-    ReportedSite site;
-    site.runUnderLoad (seconds (4), 200, [&] { site.sendAnywhere (deadlyPath); });
-    const auto ticket = site.send ("entry-7", "asks", deadlyPath);
-    const auto other = site.send ("entry-7", "asks for another", deadlyPath + "-not");
+    SmallSite site;
+    site.runUnderLoad (seconds (4), 200, [&] { site.sendAnywhere (crashingPath); });
+    const auto ticket = site.send ("entry-7", "asks", crashingPath);
+    const auto other = site.send ("entry-7", "asks for another", crashingPath + "-not");
     site.runUnderLoad (seconds (1), 0);
     const auto& result = site.answers().at (ticket).m_result;
     CHECK (result.m_outcome == Outcome::notRun);
     CHECK (result.m_reason == Reason::crashesTargets);
-    CHECK (result.m_comeBack > CrashLedger::firstHold - seconds (10));
+    CHECK (result.m_comeBack > CrashLedger::initialHold - seconds (10));
     CHECK (site.runsOf ("asks").empty());
     CHECK (site.answers().at (other).m_result.m_reason != Reason::crashesTargets);
 }
 
-TEST_CASE ("a node that starts with an empty memory asks the others before it sends such a request")
+TEST_CASE ("a restarted node fetches the ledger of the others before it sends a held request")
 {
-    ReportedSite site;
-    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (deadlyPath); });
+    SmallSite site;
+    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (crashingPath); });
     const auto crashes = site.crashes().size();
 
     for (const auto& name : { "entry-7", "target-2" })
@@ -104,7 +96,7 @@
         site.runUnderLoad (seconds (1), 50);
         site.restart (name);
         site.runUnderLoad (Milliseconds (500), 50);
-        const auto ticket = site.send (name, std::string ("after the start of ") + name, deadlyPath);
+        const auto ticket = site.send (name, std::string ("after the start of ") + name, crashingPath);
         site.runUnderLoad (seconds (1), 50);
         CHECK (site.answers().at (ticket).m_result.m_reason == Reason::crashesTargets);
     }
@@ -112,9 +104,9 @@
     CHECK (site.crashes().size() == crashes);
 }
 
-TEST_CASE ("nodes that were cut off while it became known learn of it when the cut heals")
+TEST_CASE ("nodes that were partitioned during the crashes receive the reports when the partition heals")
 {
-    ReportedSite site;
+    SmallSite site;
     const std::vector<InstanceName> alone { "entry-8", "entry-11", "target-2" };
 
     for (const auto& one : alone)
@@ -126,14 +118,14 @@
 
     for (unsigned index = 0; index < 30; ++index)
     {
-        site.send ("entry-5", "known " + std::to_string (index), deadlyPath);
+        site.send ("entry-5", "known " + std::to_string (index), crashingPath);
         site.runUnderLoad (Milliseconds (300), 200);
     }
 
     REQUIRE (site.reducer ("entry-5").relay().crashes().ledger().held() >= 1);
     REQUIRE (site.reducer ("entry-8").relay().crashes().ledger().held() == 0);
     site.healAll();
-    site.runUnderLoad (contactTime, 200);
+    site.runUnderLoad (propagationLimit, 200);
 
     for (const auto& name : site.nodes())
     {
@@ -143,7 +135,7 @@
     }
 }
 
-TEST_CASE ("all nodes know of it in time, however many there are")
+TEST_CASE ("all nodes learn of the crashes in time, in fleets of any size")
 {
     for (const unsigned nodes : { 15U, 68U, 194U })
     {
@@ -155,7 +147,7 @@
         const auto before = site.crashNews();
 
         while (site.crashes().size() < 3)
-            site.runUnderLoad (Milliseconds (100), 10 * nodes, [&] { site.sendAnywhere (deadlyPath); });
+            site.runUnderLoad (Milliseconds (100), 10 * nodes, [&] { site.sendAnywhere (crashingPath); });
 
         const auto third = site.crashes()[2];
 
@@ -163,50 +155,49 @@
                site.now() < third + seconds (10))
             site.runUnderLoad (Milliseconds (20), 10 * nodes);
 
-        CHECK (site.now() - third <= contactTime);
+        CHECK (site.now() - third <= propagationLimit);
         MESSAGE (nodes, " nodes: known to all after ", toMilliseconds (site.now() - third), " ms, ",
-                 (site.crashNews() - before) / nodes, " messages a node for ", site.crashes().size(),
+                 (site.crashNews() - before) / nodes, " messages per node for ", site.crashes().size(),
                  " crashes");
     }
 }
 
-TEST_CASE (
-    "after the hold one target at a time tries it: it ends once more, or the request is cleared everywhere")
+TEST_CASE ("after its hold a request runs at one target at a time: it crashes again or is cleared everywhere")
 {
-    ReportedSite site;
-    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (deadlyPath); });
+    SmallSite site;
+    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (crashingPath); });
     auto crashes = site.crashes().size();
-    site.runUnderLoad (CrashLedger::firstHold * 8, 2);
+    site.runUnderLoad (CrashLedger::initialHold * 8, 2);
     REQUIRE (site.crashes().size() == crashes);
 
-    // Still deadly: ten at once, and then ten a second.
-    const auto runs = site.runsOfPath (deadlyPath).size();
+    // The request still crashes its target: ten at once, and then ten a second.
+    const auto runs = site.runsOfPath (crashingPath).size();
     for (unsigned index = 0; index < 10; ++index)
-        site.sendAnywhere (deadlyPath);
+        site.sendAnywhere (crashingPath);
 
-    site.runUnderLoad (seconds (20), 10, [&] { site.sendAnywhere (deadlyPath); });
+    site.runUnderLoad (seconds (20), 10, [&] { site.sendAnywhere (crashingPath); });
     CHECK (site.crashes().size() == crashes + 1);
-    CHECK (site.runsOfPath (deadlyPath).size() == runs + 1);
+    CHECK (site.runsOfPath (crashingPath).size() == runs + 1);
 
-    // Another version of the targets runs it.
+    // A fixed version of the targets completes it.
     crashes = site.crashes().size();
     site.mend();
-    site.runUnderLoad (CrashLedger::longestHold, 1);
-    site.sendAnywhere (deadlyPath);
+    site.runUnderLoad (CrashLedger::maxHold, 1);
+    site.sendAnywhere (crashingPath);
     site.runUnderLoad (seconds (1), 10);
     std::vector<Ticket> tickets;
 
     for (unsigned index = 0; index < 10; ++index)
-        tickets.push_back (site.sendAnywhere (deadlyPath));
+        tickets.push_back (site.sendAnywhere (crashingPath));
 
     site.runUnderLoad (seconds (1), 10);
     CHECK (site.servedShare (tickets) == 1.0);
     CHECK (site.crashes().size() == crashes);
 }
 
-TEST_CASE ("an answer that is lost now and then holds nothing back")
+TEST_CASE ("occasional lost answers hold no request")
 {
-    ReportedSite site;
+    SmallSite site;
     site.loseAnswers (10);
     const std::string popular = "/read/popular";
     site.runUnderLoad (seconds (30), 100, [&] {
@@ -220,23 +211,22 @@
 }
 
 //==============================================================================
-/*  A third of the targets ends each five seconds, whatever they run; a tenth of the requests asks for one of
-   a hundred popular things, a caller whose request failed asks for the same once more, and none of them is to
-   blame. */
+/*  Up to a third of the targets crashes every five seconds, independently of the requests. A tenth of the
+   requests asks for one of a hundred popular contents, and callers repeat a failed request once. */
 TEST_CASE ("no request is held for crashes that it did not cause")
 {
-    const auto* asked = std::getenv ("PLANKLEDGE_INNOCENT_REQUESTS");
-    const std::uint64_t most = asked != nullptr ? std::stoull (asked) : 50'000;
+    const auto* setting = std::getenv ("PLANKLEDGE_INNOCENT_REQUESTS");
+    const std::uint64_t requestLimit = setting != nullptr ? std::stoull (setting) : 50'000;
     CrashSite site (15, 5, 20);
     constexpr unsigned popular = 100;
-    constexpr unsigned mostPopular = 2; // half of these ask for one thing
-    constexpr unsigned stepsBetween = 50;
+    constexpr unsigned mostPopular = 2; // half of these requests ask for the same content
+    constexpr unsigned stepsBetweenCrashes = 50;
     constexpr unsigned perSecond = 600;
-    unsigned tenths = 0;
+    unsigned steps = 0;
     std::size_t requests = 0;
     site.repeatOnce();
 
-    while (requests < most)
+    while (requests < requestLimit)
         requests +=
             site.runUnderLoad (
                     seconds (5), perSecond,
@@ -247,7 +237,7 @@
                                                                    ? 0
                                                                    : site.random().below (popular)));
 
-                        if (++tenths % stepsBetween == 0)
+                        if (++steps % stepsBetweenCrashes == 0)
                             for (unsigned index = 0; index < site.targets().size() / 3; ++index)
                                 site.crash (site.targets()[site.random().below (site.targets().size())]);
                     })
