--- a/modules/plankledge_policy/relay/limits/LimitHomes.cpp
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-/** The key of the order in which nodes are homes, the same at all. */
-const std::uint64_t orderOfHomes = hashText ("homes of limits");
+/** Key of the rendezvous order of homes, equal on all nodes. */
+const std::uint64_t homeOrderKey = hashText ("homes of limits");
 
-/** Between two hellos to a home that does not answer: as long as a process takes to start again. */
-constexpr Duration askAgainAfter = Milliseconds (700);
+/** Time between two hellos to a home that does not answer. About the time that a process takes to restart. */
+constexpr Duration helloRetryPeriod = Milliseconds (700);
 
-bool isGone (const Peer& peer, Time now) noexcept
+bool isUnreachable (const Peer& peer, Time now) noexcept
 {
     return ! peer.m_isHeard && peer.m_askedAt.has_value() &&
            now - *peer.m_askedAt > LimitHomes::replacedAfter;
@@ -36,24 +36,24 @@
     const auto* self = m_peers.find (m_peers.self());
 
     for (const auto* peer : m_peers.others())
-        ranked.emplace_back (rendezvousWeight (orderOfHomes, peer->m_member.m_id.m_instance), peer);
+        ranked.emplace_back (rendezvousWeight (homeOrderKey, peer->m_member.m_id.m_instance), peer);
 
-    ranked.emplace_back (rendezvousWeight (orderOfHomes, m_peers.self()), self);
+    ranked.emplace_back (rendezvousWeight (homeOrderKey, m_peers.self()), self);
     std::sort (ranked.begin(), ranked.end(),
                [] (const auto& one, const auto& other) { return one.first > other.first; });
 
-    const auto wanted = std::clamp<std::size_t> (ranked.size() / nodesOfHome, 1, most);
+    const auto homeCount = std::clamp<std::size_t> (ranked.size() / nodesPerHome, 1, maxHomes);
     std::size_t reachable = 0;
     m_homes.clear();
 
     for (const auto& [weight, peer] : ranked)
     {
-        if (reachable >= wanted)
+        if (reachable >= homeCount)
             break;
 
-        // Those that are gone stay on the list, so that they are found again.
+        // Unreachable homes stay in the list, so that hellos are still sent to them.
         m_homes.push_back (peer->m_member.m_id.m_instance);
-        reachable += isGone (*peer, now) ? 0 : 1;
+        reachable += isUnreachable (*peer, now) ? 0 : 1;
     }
 }
 
@@ -70,7 +70,7 @@
 
         const auto since = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt : now - peer->m_heardAt;
 
-        if (since >= (peer->m_askedAt.has_value() ? askAgainAfter : contactPeriod))
+        if (since >= (peer->m_askedAt.has_value() ? helloRetryPeriod : contactPeriod))
             result.push_back (peer);
     }
 
@@ -79,11 +79,11 @@
 
 bool LimitHomes::isUsable (const Peer& peer) const noexcept
 {
-    const auto shunned = m_shunned.find (peer.m_member.m_id.m_instance);
-    return peer.m_isHeard && (shunned == m_shunned.end() || peer.m_heardAt > shunned->second);
+    const auto unresponsive = m_unresponsive.find (peer.m_member.m_id.m_instance);
+    return peer.m_isHeard && (unresponsive == m_unresponsive.end() || peer.m_heardAt > unresponsive->second);
 }
 
-const Peer* LimitHomes::of (const OrganisationName& organisation) const
+const Peer* LimitHomes::homeOf (const OrganisationName& organisation) const
 {
     const auto hash = hashText (organisation);
     const Peer* best = nullptr;
@@ -108,12 +108,12 @@
     return best;
 }
 
-double LimitHomes::reachingShare (Time now) const noexcept
+double LimitHomes::reachableShare (Time now) const noexcept
 {
     std::size_t reaching = 1; // this node itself
 
     for (const auto* peer : m_peers.others())
-        reaching += peer->m_heardAt > Time() && now - peer->m_heardAt <= reachedFor ? 1 : 0;
+        reaching += peer->m_heardAt > Time() && now - peer->m_heardAt <= reachabilityWindow ? 1 : 0;
 
     return static_cast<double> (reaching) / static_cast<double> (m_peers.size());
 }
--- a/modules/plankledge_policy/relay/limits/LimitHomes.h
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.h
@@ -9,52 +9,54 @@
 
 //==============================================================================
 /**
-    Says which node counts the requests of an organisation for all nodes: its home.
+    Determines the home of each organisation: the node that counts its requests for all nodes.
 
-    Homes are the first few of all nodes in a rendezvous order that each node computes from
-    what it knows, those that can't be reached left out; the organisations are dealt among
-    them by another such order, so that where a home goes, only its own move. Nothing is
-    agreed: two nodes that know different peers may ask different homes for a while, and
-    each of these counts only for those that it hears (see OrganisationLimits).
+    Each node computes the homes from the peers that it knows, by rendezvous hashing: the first few reachable
+    nodes are homes, and each organisation is assigned to one of them. When a home leaves, only its own
+    organisations move.
 
-    A home for each sixteen nodes: at 31 requests a second and node one answers 500
-    questions a second. No more than eight, since each node keeps contact with all.
+    There is no agreement between nodes. Two nodes that know different peers may use different homes for a
+    while, and each home then grants only its share of the limit (see OrganisationLimits).
 */
 class LimitHomes
 {
 public:
     //==============================================================================
-    static constexpr std::size_t nodesOfHome = 16;
-    static constexpr std::size_t most = 8;
+    /** Limits how many questions a home has to answer. */
+    static constexpr std::size_t nodesPerHome = 16;
 
-    /** Hellos that a home may leave unanswered for so long before another takes its place. */
+    /** Limited because each node keeps in contact with every home. */
+    static constexpr std::size_t maxHomes = 8;
+
+    /** How long a home may leave hellos unanswered before another one replaces it. */
     static constexpr Duration replacedAfter = PeerTable::silenceLimit;
 
-    /** A home that said nothing for so long is sent a hello. */
+    /** A home that was silent for this long is sent a hello. */
     static constexpr Duration contactPeriod = Milliseconds (500);
 
-    /** Whoever was heard within this time counts as reaching this node: the longest time between two hellos,
-       and a pause of a process. With 2 s two halves of a fleet that was split under six times the usual
-       let 1.04 of what is allowed through in a window. */
-    static constexpr Duration reachedFor = std::chrono::seconds (1);
+    /** A peer counts as reachable if it was heard within this time. It covers the longest time between two
+        hellos and a pause of the process. If it is too long, the two sides of a network partition together
+        exceed the limits. */
+    static constexpr Duration reachabilityWindow = std::chrono::seconds (1);
 
     explicit LimitHomes (const PeerTable& peers);
 
-    /** Looks anew who the homes are. */
+    /** Recomputes the homes from the known peers. */
     void update (Time now);
 
-    /** @returns the homes that are due a hello */
+    /** @returns the homes to which a hello should be sent now */
     std::vector<const Peer*> due (Time now) const;
 
-    /** @returns who counts for the organisation, this node or a peer that answers; nullptr: nobody is known
-     */
-    const Peer* of (const OrganisationName& organisation) const;
+    /** @returns the home of the organisation, which is this node or a responsive peer; nullptr if none is
+        known */
+    const Peer* homeOf (const OrganisationName& organisation) const;
 
-    /** A home left a question unanswered: it is not asked again before something is heard of it. */
-    void shun (const InstanceName& instance, Time now) { m_shunned[instance] = now; }
+    /** Called when a home did not answer a question sent at the given time. The home is not used again until
+        it has been heard after that time. */
+    void markUnresponsive (const InstanceName& instance, Time askedAt) { m_unresponsive[instance] = askedAt; }
 
-    /** @returns the part of all nodes that reach this one, itself included */
-    double reachingShare (Time now) const noexcept;
+    /** @returns the fraction of all nodes that can reach this node, itself included, in (0, 1] */
+    double reachableShare (Time now) const noexcept;
 
     const std::vector<InstanceName>& homes() const noexcept { return m_homes; }
 
@@ -63,8 +65,8 @@
     bool isUsable (const Peer& peer) const noexcept;
 
     const PeerTable& m_peers;
-    std::vector<InstanceName> m_homes; /**< in their order */
-    std::map<InstanceName, Time> m_shunned;
+    std::vector<InstanceName> m_homes; /**< by descending rendezvous weight */
+    std::map<InstanceName, Time> m_unresponsive;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/limits/OrganisationCounts.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationCounts.h
@@ -8,18 +8,19 @@
 namespace plankledge
 {
 
-/** What became of the requests that came to this node for an organisation. */
+/** Numbers of an organisation's requests, by result. */
 struct OrganisationCount
 {
-    std::uint64_t m_admitted = 0;     /**< within the limit, and sent on */
-    std::uint64_t m_beyondLimit = 0;  /**< refused for it */
-    std::uint64_t m_limitUnknown = 0; /**< refused since nobody could say */
-    std::uint64_t m_counted = 0;      /**< let through by this node as the home, of all nodes' requests */
+    std::uint64_t m_admitted = 0;    /**< received here, within the limit and forwarded */
+    std::uint64_t m_beyondLimit = 0; /**< received here, refused because of the limit */
+    std::uint64_t m_limitUnknown =
+        0; /**< received here, refused because no home answered and the local share was used up */
+    std::uint64_t m_counted = 0; /**< received by any node, allowed by this node as the home */
 
     auto operator<=> (const OrganisationCount&) const = default;
 };
 
-/** By name; no more than are declared. */
+/** By name. Contains only organisations that are declared in the configuration. */
 using OrganisationCounts = std::map<OrganisationName, OrganisationCount>;
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -12,25 +12,24 @@
 namespace
 {
 
-/** A home answers within a few milliseconds; a process that has used up its share of a processor stands still
-    for 90. */
-constexpr Duration askPatience = Milliseconds (100);
+/** Longer than the 90 ms for which a process that has exhausted its CPU quota is suspended. */
+constexpr Duration questionTimeout = Milliseconds (100);
 
-/** The part of what may be exceeded in a window that a home which starts lets through at once. */
-constexpr double firstPart = 0.25;
+/** Initial tokens of a new home, as a fraction of the permitted excess per window. */
+constexpr double initialFraction = 0.25;
 
-/** The part of its own equal share that a node uses where no home answers. */
-constexpr double alonePart = 0.5;
+/** Fraction of its own equal share that a node enforces if no home answers. */
+constexpr double fallbackFraction = 0.5;
 
 } // namespace
 
 //==============================================================================
 OrganisationLimits::OrganisationLimits (const RelaySettings& settings, const RouteFollower& routes,
-                                        PeerTable& peers, OnJudged onJudged)
+                                        PeerTable& peers, OnDecided onDecided)
     : m_settings (settings)
     , m_routes (routes)
     , m_peers (peers)
-    , m_onJudged (std::move (onJudged))
+    , m_onDecided (std::move (onDecided))
     , m_homes (peers)
 {
 }
@@ -49,8 +48,8 @@
 RequestLimit OrganisationLimits::limitInForce (const OrganisationName& organisation,
                                                const RequestLimit& declared, Time now) const noexcept
 {
-    const auto found = m_earlier.find (organisation);
-    return found != m_earlier.end() && now < found->second.m_until ? found->second.m_limit : declared;
+    const auto found = m_previousLimits.find (organisation);
+    return found != m_previousLimits.end() && now < found->second.m_until ? found->second.m_limit : declared;
 }
 
 //==============================================================================
@@ -61,19 +60,20 @@
         return Judgement { LimitVerdict::within, {} };
 
     if (limitOf (organisation) == nullptr)
-        return noted (organisation, { LimitVerdict::within, {} });
+        return recordDecision (organisation, { LimitVerdict::within, {} });
 
-    const auto* home = m_settings.m_limitSharing == LimitSharing::homes ? m_homes.of (organisation) : nullptr;
+    const auto* home =
+        m_settings.m_limitSharing == LimitSharing::homes ? m_homes.homeOf (organisation) : nullptr;
 
     if (home == nullptr)
-        return noted (organisation, judgeAlone (organisation, turn.now()));
+        return recordDecision (organisation, decideLocally (organisation, turn.now()));
 
     const auto& instance = home->m_member.m_id.m_instance;
 
     if (instance == m_peers.self())
-        return noted (organisation, judgeAtHome (organisation, turn.now()));
+        return recordDecision (organisation, decideAtHome (organisation, turn.now()));
 
-    const auto question = m_next++;
+    const auto question = m_nextQuestion++;
     m_questions[question] = { request, organisation, instance, turn.now() };
     m_byRequest[request] = question;
     turn.emit (SendToPeer { instance, home->m_member.m_endpoint, LimitQuestion { question, organisation } });
@@ -94,9 +94,9 @@
 void OrganisationLimits::onQuestion (Turn& turn, LinkId link, const InstanceName& from,
                                      const LimitQuestion& question)
 {
-    const auto judgement = judgeAtHome (question.m_organisation, turn.now());
-    turn.emit (ReplyOnLink { link, from,
-                             LimitAnswer { question.m_question, judgement.m_verdict, judgement.m_wait } });
+    const auto decision = decideAtHome (question.m_organisation, turn.now());
+    turn.emit (
+        ReplyOnLink { link, from, LimitAnswer { question.m_question, decision.m_verdict, decision.m_wait } });
 }
 
 void OrganisationLimits::onAnswer (Turn& turn, const InstanceName& from, const LimitAnswer& answer)
@@ -104,26 +104,26 @@
     const auto found = m_questions.find (answer.m_question);
 
     if (found == m_questions.end() || found->second.m_home != from)
-        return; // given up meanwhile
+        return; // already decided locally, or cancelled
 
     const auto question = found->second;
     forget (question.m_request);
 
     // A home with an older configuration may not know the organisation yet.
-    const auto judgement = answer.m_verdict == LimitVerdict::unknown
-                               ? judgeAlone (question.m_organisation, turn.now())
-                               : Judgement { answer.m_verdict, answer.m_wait };
-    m_onJudged (turn, question.m_request, noted (question.m_organisation, judgement));
+    const auto decision = answer.m_verdict == LimitVerdict::unknown
+                              ? decideLocally (question.m_organisation, turn.now())
+                              : Judgement { answer.m_verdict, answer.m_wait };
+    m_onDecided (turn, question.m_request, recordDecision (question.m_organisation, decision));
 }
 
 //==============================================================================
-/** Counts a judgement of one of this node's own requests. */
-OrganisationLimits::Judgement OrganisationLimits::noted (const OrganisationName& organisation,
-                                                         const Judgement& judgement)
+/** Counts the decision on a request that arrived at this node. */
+OrganisationLimits::Judgement OrganisationLimits::recordDecision (const OrganisationName& organisation,
+                                                                  const Judgement& decision)
 {
     auto& count = m_counts[organisation];
 
-    switch (judgement.m_verdict)
+    switch (decision.m_verdict)
     {
     case LimitVerdict::within:
         ++count.m_admitted;
@@ -136,89 +136,95 @@
         break;
     }
 
-    return judgement;
+    return decision;
 }
 
-OrganisationLimits::Judgement OrganisationLimits::judge (Meters& meters, const OrganisationName& organisation,
-                                                         double share, double first, Time now)
+OrganisationLimits::Judgement OrganisationLimits::decide (TokenBuckets& buckets,
+                                                          const OrganisationName& organisation, double share,
+                                                          double initialLevel, Time now)
 {
     const auto* limit = limitOf (organisation);
 
     if (limit == nullptr)
         return { LimitVerdict::unknown, {} };
 
-    auto& meter = meters.try_emplace (organisation, first, now).first->second;
-    const auto wait = meter.take (limitInForce (organisation, *limit, now), share, now);
+    auto& bucket = buckets.try_emplace (organisation, initialLevel, now).first->second;
+    const auto wait = bucket.take (limitInForce (organisation, *limit, now), share, now);
     return { wait > Duration::zero() ? LimitVerdict::beyond : LimitVerdict::within, wait };
 }
 
-OrganisationLimits::Judgement OrganisationLimits::judgeAtHome (const OrganisationName& organisation, Time now)
+OrganisationLimits::Judgement OrganisationLimits::decideAtHome (const OrganisationName& organisation,
+                                                                Time now)
 {
     const auto* limit = limitOf (organisation);
 
     if (limit == nullptr)
-        return {}; // peers may ask about anything
+        return {}; // a peer may ask about an organisation that is not declared here
 
-    const auto judgement = judge (m_counted, organisation, m_share, firstLevel (*limit), now);
-    m_counts[organisation].m_counted += judgement.m_verdict == LimitVerdict::within ? 1 : 0;
-    return judgement;
+    const auto decision =
+        decide (m_homeBuckets, organisation, m_reachableShare, initialLevelOf (*limit), now);
+    m_counts[organisation].m_counted += decision.m_verdict == LimitVerdict::within ? 1 : 0;
+    return decision;
 }
 
-OrganisationLimits::Judgement OrganisationLimits::judgeAlone (const OrganisationName& organisation, Time now)
+OrganisationLimits::Judgement OrganisationLimits::decideLocally (const OrganisationName& organisation,
+                                                                 Time now)
 {
-    const auto part = m_settings.m_limitSharing == LimitSharing::fixedShares ? 1.0 : alonePart;
-    const auto share = part / static_cast<double> (m_peers.size());
-    auto judgement = judge (m_own, organisation, share, 1.0, now);
+    const auto fraction = m_settings.m_limitSharing == LimitSharing::fixedShares ? 1.0 : fallbackFraction;
+    const auto share = fraction / static_cast<double> (m_peers.size());
+    auto decision = decide (m_localBuckets, organisation, share, 1.0, now);
 
-    // Of the whole limit nothing is known here.
-    if (judgement.m_verdict == LimitVerdict::beyond && m_settings.m_limitSharing == LimitSharing::homes)
-        judgement.m_verdict = LimitVerdict::unknown;
+    // This node does not know whether the limit as a whole is exceeded.
+    if (decision.m_verdict == LimitVerdict::beyond && m_settings.m_limitSharing == LimitSharing::homes)
+        decision.m_verdict = LimitVerdict::unknown;
 
-    return judgement;
+    return decision;
 }
 
-double OrganisationLimits::firstLevel (const RequestLimit& limit) const noexcept
+double OrganisationLimits::initialLevelOf (const RequestLimit& limit) const noexcept
 {
     const auto window = static_cast<double> (m_settings.m_limitWindow.count()) / 1e6;
-    const auto exceeded = m_settings.m_limitOverage * (limit.m_perSecond * window + limit.m_burst) +
-                          static_cast<double> (m_settings.m_limitSlack);
-    return std::min (limit.m_burst, firstPart * exceeded);
+    const auto excess = m_settings.m_limitOverage * (limit.m_perSecond * window + limit.m_burst) +
+                        static_cast<double> (m_settings.m_limitSlack);
+    return std::min (limit.m_burst, initialFraction * excess);
 }
 
 //==============================================================================
-void OrganisationLimits::giveUp (Turn& turn, const std::function<bool (const Question&)>& isLost,
-                                 bool isShunned)
+void OrganisationLimits::decideUnanswered (Turn& turn,
+                                           const std::function<bool (const Question&)>& isUnanswered,
+                                           bool isHomeUnresponsive)
 {
-    std::vector<Question> lost;
+    std::vector<Question> unanswered;
 
     for (const auto& [number, question] : m_questions)
-        if (isLost (question))
-            lost.push_back (question);
+        if (isUnanswered (question))
+            unanswered.push_back (question);
 
-    for (const auto& question : lost)
+    for (const auto& question : unanswered)
     {
         forget (question.m_request);
 
-        if (isShunned)
-            m_homes.shun (question.m_home, question.m_askedAt);
+        if (isHomeUnresponsive)
+            m_homes.markUnresponsive (question.m_home, question.m_askedAt);
 
-        m_onJudged (turn, question.m_request,
-                    noted (question.m_organisation, judgeAlone (question.m_organisation, turn.now())));
+        m_onDecided (
+            turn, question.m_request,
+            recordDecision (question.m_organisation, decideLocally (question.m_organisation, turn.now())));
     }
 }
 
 void OrganisationLimits::onPeerDown (Turn& turn, const InstanceName& instance)
 {
     m_homes.update (turn.now());
-    giveUp (
+    decideUnanswered (
         turn, [&] (const Question& question) { return question.m_home == instance; }, false);
 }
 
 void OrganisationLimits::onWindowEnd (Turn& turn)
 {
-    giveUp (
+    decideUnanswered (
         turn,
-        [now = turn.now()] (const Question& question) { return now - question.m_askedAt >= askPatience; },
+        [now = turn.now()] (const Question& question) { return now - question.m_askedAt >= questionTimeout; },
         true);
 }
 
@@ -227,49 +233,50 @@
     if (! areLimitsDeclared())
         return;
 
-    takeVersion (turn.now());
-    m_share = m_homes.reachingShare (turn.now());
+    applyVersion (turn.now());
+    m_reachableShare = m_homes.reachableShare (turn.now());
     const auto before = m_homes.homes();
     m_homes.update (turn.now());
 
     if (before == m_homes.homes())
         return;
 
-    forgetMoved();
+    dropMovedBuckets();
     turn.emit (LogDecision { Decision::limitHomes,
                              {},
                              { { "homes", fmt::format ("{}", fmt::join (m_homes.homes(), ",")) },
                                { "nodes", detail::number (m_peers.size()) },
-                               { "share", fmt::format ("{:.2f}", m_share) } } });
+                               { "share", fmt::format ("{:.2f}", m_reachableShare) } } });
 }
 
-/** What another home counts meanwhile is not known here: an organisation that comes back begins anew. */
-void OrganisationLimits::forgetMoved()
+/** Removes the buckets of organisations that have another home now. If one returns, its bucket would be out
+   of date. */
+void OrganisationLimits::dropMovedBuckets()
 {
-    std::erase_if (m_counted, [this] (const auto& entry) {
-        const auto* home = m_homes.of (entry.first);
+    std::erase_if (m_homeBuckets, [this] (const auto& entry) {
+        const auto* home = m_homes.homeOf (entry.first);
         return home != nullptr && home->m_member.m_id.m_instance != m_peers.self();
     });
 }
 
-/** Organisations come and go with versions: what is counted of others would be kept for ever. */
-void OrganisationLimits::takeVersion (Time now)
+/** Records lowered limits and removes the state of organisations that are no longer declared. */
+void OrganisationLimits::applyVersion (Time now)
 {
-    std::erase_if (m_earlier, [now] (const auto& entry) { return entry.second.m_until <= now; });
+    std::erase_if (m_previousLimits, [now] (const auto& entry) { return entry.second.m_until <= now; });
 
     if (std::exchange (m_version, m_routes.version()) == m_routes.version())
         return;
 
-    noteLowered (now);
+    recordLoweredLimits (now);
     const auto& declared = m_routes.table().organisations();
     const auto isUndeclared = [&] (const auto& entry) { return declared.find (entry.first) == nullptr; };
-    std::erase_if (m_counted, isUndeclared);
-    std::erase_if (m_own, isUndeclared);
+    std::erase_if (m_homeBuckets, isUndeclared);
+    std::erase_if (m_localBuckets, isUndeclared);
     std::erase_if (m_counts, isUndeclared);
-    std::erase_if (m_earlier, isUndeclared);
+    std::erase_if (m_previousLimits, isUndeclared);
 }
 
-void OrganisationLimits::noteLowered (Time now)
+void OrganisationLimits::recordLoweredLimits (Time now)
 {
     const auto before = std::exchange (m_limits, {});
 
@@ -279,11 +286,11 @@
             continue;
 
         const auto& limit = m_limits[organisation.m_name] = *organisation.m_limit;
-        const auto known = before.find (organisation.m_name);
+        const auto previous = before.find (organisation.m_name);
 
-        if (known != before.end() && limit.m_perSecond < known->second.m_perSecond)
-            m_earlier.try_emplace (organisation.m_name,
-                                   EarlierLimit { known->second, now + m_settings.m_limitWindow });
+        if (previous != before.end() && limit.m_perSecond < previous->second.m_perSecond)
+            m_previousLimits.try_emplace (organisation.m_name,
+                                          PreviousLimit { previous->second, now + m_settings.m_limitWindow });
     }
 }
 
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.h
@@ -4,7 +4,7 @@
 #include "plankledge_policy/relay/RelaySettings.h"
 #include "plankledge_policy/relay/limits/LimitHomes.h"
 #include "plankledge_policy/relay/limits/OrganisationCounts.h"
-#include "plankledge_policy/relay/limits/RequestMeter.h"
+#include "plankledge_policy/relay/limits/TokenBucket.h"
 #include "plankledge_policy/relay/routes/RouteFollower.h"
 
 #include <functional>
@@ -15,35 +15,29 @@
 
 //==============================================================================
 /**
-    Keeps what all nodes together let through of an organisation's requests within its
-    limit.
+    Distributed rate limiter: keeps the requests of an organisation within its limit over all nodes.
 
-    The loads it answers: an organisation that sends many times its usual, a limit lowered
-    far below what is sent, and the many small organisations whose equal part at a node is
-    less than a request in a window.
+    Each request is counted once, by the home of its organisation, before it is forwarded. This costs a round
+    trip, but is exact wherever requests arrive, also for organisations whose equal share per node is less
+    than one request per window. A home grants only the share of the limit that belongs to the nodes that it
+    can hear, so that the two sides of a network partition together stay within one limit. A new home does not
+    know what the previous one allowed. It starts with a quarter of the permitted excess per window, which
+    allows for two changes of the home in one window.
 
-    Each request is counted once, by the organisation's home, before it is sent on: a round
-    trip, and exact wherever requests arrive. A home lets through only the part of the limit
-    that the nodes have which it hears, so that two halves of a fleet that is split allow
-    one limit together. A home that starts knows nothing of what was let through before:
-    it begins with a quarter of what may be exceeded in a window, so that two changes in one
-    are borne.
+    A lowered limit is enforced with a delay of one window, so that requests that were within the previous
+    limit when they were sent are not refused.
 
-    A limit that is lowered holds from one window on after it came in force: until then the
-    windows still hold what the one before let through. Applied at once, 0.04 of the
-    worth of the four seconds after it was lost, by requests that lay below the limit in
-    force when they were sent.
+    If no home answers, a node enforces half of its own equal share of the limit. This may
+    exceed the limit only for a short time, since an isolated node stops accepting keys after the revocation
+    bound.
 
-    Where no home answers a node goes by its own equal part of the limit, halved: at a bound
-    of 5 s on keys, cut off nodes come to an end before the other half would be too much.
-
-    With fixed shares a node always goes by its own equal part.
+    With LimitSharing::fixedShares a node always enforces its own equal share.
 */
 class OrganisationLimits
 {
 public:
     //==============================================================================
-    /** Whether a request may go on, and if not, how long it is to wait. */
+    /** Whether a request is within the limit, and if not, how long the caller should wait. */
     struct Judgement
     {
         LimitVerdict m_verdict = LimitVerdict::unknown;
@@ -52,36 +46,38 @@
         auto operator<=> (const Judgement&) const = default;
     };
 
-    using OnJudged = std::function<void (Turn&, CallId request, const Judgement&)>;
+    using OnDecided = std::function<void (Turn&, CallId request, const Judgement&)>;
 
-    /** @param onJudged   takes judgements that were not there at once */
+    /** @param onDecided   receives the decisions that ask() could not return at once */
     OrganisationLimits (const RelaySettings& settings, const RouteFollower& routes, PeerTable& peers,
-                        OnJudged onJudged);
+                        OnDecided onDecided);
 
     //==============================================================================
     /** Asks whether a request is within its organisation's limit.
 
-        @returns the judgement, if it is there at once
+        @returns the decision, or std::nullopt if it has to be requested from the home; the OnDecided hook
+                 then receives it
     */
     std::optional<Judgement> ask (Turn& turn, const OrganisationName& organisation, CallId request);
 
-    /** Nobody waits for the judgement any more. */
+    /** Cancels a pending question. */
     void forget (CallId request);
 
     void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const LimitQuestion& question);
     void onAnswer (Turn& turn, const InstanceName& from, const LimitAnswer& answer);
     void onPeerDown (Turn& turn, const InstanceName& instance);
 
-    /** Looks after questions without an answer; every 100 ms. */
+    /** Decides questions that were not answered in time. Called every 100 ms. */
     void onWindowEnd (Turn& turn);
 
-    /** Looks who the homes are; every 200 ms. */
+    /** Applies configuration changes and recomputes the homes. Called every 200 ms. */
     void onTick (Turn& turn);
 
-    /** @returns the homes that are due a hello */
+    /** @returns the homes to which a hello should be sent now */
     std::vector<const Peer*> due (Time now) const;
 
-    /** This process stood still: questions meanwhile say nothing of those that were asked. */
+    /** Called after this process was paused. Restarts the timeouts of all pending questions, since the pause
+        says nothing about the homes. */
     void onPause (Time now) noexcept;
 
     const LimitHomes& homes() const noexcept { return m_homes; }
@@ -97,45 +93,46 @@
         Time m_askedAt;
     };
 
-    using Meters = std::map<OrganisationName, RequestMeter>;
+    using TokenBuckets = std::map<OrganisationName, TokenBucket>;
 
-    /** A limit that was lowered, as it was. */
-    struct EarlierLimit
+    /** The value of a lowered limit before the change. */
+    struct PreviousLimit
     {
         RequestLimit m_limit;
-        Time m_until;
+        Time m_until; /**< enforced until then */
     };
 
     bool areLimitsDeclared() const noexcept;
     const RequestLimit* limitOf (const OrganisationName& organisation) const noexcept;
     RequestLimit limitInForce (const OrganisationName& organisation, const RequestLimit& declared,
                                Time now) const noexcept;
-    void noteLowered (Time now);
-    Judgement noted (const OrganisationName& organisation, const Judgement& judgement);
-    Judgement judge (Meters& meters, const OrganisationName& organisation, double share, double first,
-                     Time now);
-    Judgement judgeAtHome (const OrganisationName& organisation, Time now);
-    Judgement judgeAlone (const OrganisationName& organisation, Time now);
-    double firstLevel (const RequestLimit& limit) const noexcept;
-    void giveUp (Turn& turn, const std::function<bool (const Question&)>& isLost, bool isShunned);
-    void takeVersion (Time now);
-    void forgetMoved();
+    void recordLoweredLimits (Time now);
+    Judgement recordDecision (const OrganisationName& organisation, const Judgement& decision);
+    Judgement decide (TokenBuckets& buckets, const OrganisationName& organisation, double share,
+                      double initialLevel, Time now);
+    Judgement decideAtHome (const OrganisationName& organisation, Time now);
+    Judgement decideLocally (const OrganisationName& organisation, Time now);
+    double initialLevelOf (const RequestLimit& limit) const noexcept;
+    void decideUnanswered (Turn& turn, const std::function<bool (const Question&)>& isUnanswered,
+                           bool isHomeUnresponsive);
+    void applyVersion (Time now);
+    void dropMovedBuckets();
 
     const RelaySettings m_settings;
     const RouteFollower& m_routes;
     PeerTable& m_peers;
-    const OnJudged m_onJudged;
+    const OnDecided m_onDecided;
     LimitHomes m_homes;
-    OrganisationCounts m_counts;                        /**< since the start, of those that are declared */
-    std::map<CallId, Question> m_questions;             /**< by their numbers */
-    std::map<CallId, CallId> m_byRequest;               /**< a request to its question */
-    Meters m_counted;                                   /**< of organisations whose home this node is */
-    Meters m_own;                                       /**< of this node's own parts */
-    std::map<OrganisationName, RequestLimit> m_limits;  /**< of m_version */
-    std::map<OrganisationName, EarlierLimit> m_earlier; /**< that still hold */
-    ConfigurationVersion m_version = 0;                 /**< that the meters are of */
-    double m_share = 0.0;                               /**< of all nodes, that reach this one */
-    CallId m_next = 1;
+    OrganisationCounts m_counts;            /**< since the start of this process */
+    std::map<CallId, Question> m_questions; /**< pending, by question number */
+    std::map<CallId, CallId> m_byRequest;   /**< question numbers by request */
+    TokenBuckets m_homeBuckets;             /**< of organisations that have this node as their home */
+    TokenBuckets m_localBuckets;            /**< of this node's own equal shares */
+    std::map<OrganisationName, RequestLimit> m_limits;          /**< declared in m_version */
+    std::map<OrganisationName, PreviousLimit> m_previousLimits; /**< still enforced */
+    ConfigurationVersion m_version = 0;                         /**< of the configuration last applied */
+    double m_reachableShare = 0.0; /**< fraction of all nodes that can reach this one */
+    CallId m_nextQuestion = 1;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/limits/RequestMeter.cpp
+++ b/modules/plankledge_policy/relay/limits/TokenBucket.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/limits/RequestMeter.h"
+#include "plankledge_policy/relay/limits/TokenBucket.h"
 
 #include <algorithm>
 
@@ -8,23 +8,23 @@
 namespace
 {
 
-/** Whom nothing is allowed at the moment is told to come back after this, if at all. */
-constexpr Duration longestWait = std::chrono::minutes (1);
+/** Upper bound of the waiting times returned, also if the rate is zero. */
+constexpr Duration maxWait = std::chrono::minutes (1);
 
 } // namespace
 
-RequestMeter::RequestMeter (double level, Time now)
+TokenBucket::TokenBucket (double level, Time now)
     : m_level (level)
     , m_at (now)
 {
 }
 
-Duration RequestMeter::take (const RequestLimit& limit, double share, Time now)
+Duration TokenBucket::take (const RequestLimit& limit, double share, Time now)
 {
     const auto rate = limit.m_perSecond * share;
     const auto seconds = static_cast<double> ((now - m_at).count()) / 1e6;
 
-    // A bucket of less than one request would never let any through.
+    // A bucket with a capacity below one token would never allow a request.
     m_level = std::min (m_level + seconds * rate, std::max (1.0, limit.m_burst * share));
     m_at = now;
 
@@ -35,8 +35,8 @@
     }
 
     const auto wait = rate > 0.0 ? (1.0 - m_level) / rate : 1e9;
-    const auto longest = static_cast<double> (longestWait.count());
-    return Duration (static_cast<Duration::rep> (std::clamp (wait * 1e6, 1.0, longest)));
+    const auto maxWaitUs = static_cast<double> (maxWait.count());
+    return Duration (static_cast<Duration::rep> (std::clamp (wait * 1e6, 1.0, maxWaitUs)));
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/limits/RequestMeter.h
+++ b/modules/plankledge_policy/relay/limits/TokenBucket.h
@@ -8,24 +8,24 @@
 
 //==============================================================================
 /**
-    Counts requests against a limit: a token bucket.
+    Token bucket that limits the rate of requests.
 
-    It may keep only a share of the limit, where others keep the rest, and the share may
-    change from one request to the next.
+    The bucket may enforce only a share of a limit, with other nodes enforcing the rest. The share may change
+    from one request to the next.
 
-    Units: requests.
+    Units: tokens, one per request.
 */
-class RequestMeter
+class TokenBucket
 {
 public:
     //==============================================================================
-    /** @param level   requests that are within the limit at once */
-    RequestMeter (double level, Time now);
+    /** @param level   tokens at the start: requests that are allowed at once */
+    TokenBucket (double level, Time now);
 
-    /** Counts a request if it is within the limit.
+    /** Takes a token for a request, if there is one.
 
-        @param share   of the limit that is kept here, in [0, 1]
-        @returns how long until a request is within it; zero: this one is, and was counted
+        @param share   share of the limit that this bucket enforces, in [0, 1]
+        @returns zero if a token was taken, otherwise the time until there will be one
     */
     Duration take (const RequestLimit& limit, double share, Time now);
 
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -1,5 +1,5 @@
-/*  What all nodes together let through of an organisation's requests, in virtual time: every window at the
-   targets is looked at, and whatever was refused although it lay below the limit is counted. */
+/*  Runs a fleet in virtual time. Guards against organisations that exceed their limit over all nodes in any
+    window, and against refusals below the limit. */
 
 #include "support/RelayRig.h"
 
@@ -32,8 +32,8 @@
     return { name, 0, RequestLimit { perSecond, burst }, { "key-of-" + name } };
 }
 
-/** Nodes in three zones, a few of which have targets of "plans", and organisations that send at random nodes.
- */
+/** Nodes in three zones, a quarter of them with targets of "plans", and organisations that send to random
+    nodes. */
 struct LimitFleet : RelayRig
 {
     explicit LimitFleet (unsigned nodes, LimitSharing sharing = LimitSharing::homes)
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The organisation sends so many a second; its limit is in force from now on. */
+    /** Adds an organisation that sends at the given rate. Its limit is in force after declare(). */
     void addSender (const Organisation& organisation, double perSecond)
     {
         m_senders.push_back ({ organisation, perSecond });
@@ -71,7 +71,7 @@
         publish (makeTable (++m_version, { read }, Organisations (organisations)));
     }
 
-    /** Sends the organisations' requests, at all nodes alike or a third of them at one. */
+    /** Sends the requests of all organisations to random nodes, or a third of them to the first node. */
     void load (Duration duration, bool isUneven = false)
     {
         constexpr Duration step = Milliseconds (5);
@@ -83,14 +83,14 @@
                 const auto wanted = sender.m_perSecond * 0.005;
                 const auto whole = static_cast<unsigned> (wanted);
 
-                // Whether one more comes in a step is left to chance.
-                for (auto left = whole + (isChance (wanted - whole) ? 1U : 0U); left > 0; --left)
+                // The fractional request of a step is sent at random.
+                for (auto left = whole + (withProbability (wanted - whole) ? 1U : 0U); left > 0; --left)
                     sendOne (sender, isUneven);
             }
         }
     }
 
-    bool isChance (double probability)
+    bool withProbability (double probability)
     {
         return static_cast<double> (m_random.below (1000000)) < probability * 1e6;
     }
@@ -105,7 +105,7 @@
             { send (name, id, "/read/x", seconds (3), credential), now(), name });
     }
 
-    /** @returns the greatest number of an organisation's runs in any window, over what is allowed in one */
+    /** @returns the greatest number of an organisation's runs in any window, divided by the number allowed */
     double worstWindow (const Organisation& organisation, Time since = {}) const
     {
         const auto allowed =
@@ -130,7 +130,8 @@
         return static_cast<double> (most) / allowed;
     }
 
-    /** @returns the share of an organisation's requests since then that were refused for its limit */
+    /** @returns the fraction of an organisation's requests since the given time that were refused because of
+       its limit */
     double refusedShare (const OrganisationName& name, Time since = {}) const
     {
         double refused = 0.0;
@@ -151,8 +152,8 @@
         return refused / all;
     }
 
-    /** Cuts the first so many nodes off from the others. */
-    void split (std::size_t first)
+    /** Partitions the first nodes from the others. */
+    void partition (std::size_t first)
     {
         for (std::size_t one = 0; one < first; ++one)
             for (std::size_t other = first; other < m_names.size(); ++other)
@@ -161,7 +162,7 @@
 
     const InstanceName& homeOf (const OrganisationName& organisation) const
     {
-        const auto* home = reducer (m_names.front()).relay().limits().homes().of (organisation);
+        const auto* home = reducer (m_names.front()).relay().limits().homes().homeOf (organisation);
         REQUIRE (home != nullptr);
         return home->m_member.m_id.m_instance;
     }
@@ -181,8 +182,8 @@
     Random m_random;
 };
 
-/** A large organisation, a middling and a small one, which send their usual: a limit is 1.6 times that. */
-void addUsualSenders (LimitFleet& fleet)
+/** A large, a medium and a small organisation with limits of 1.6 times what they send. */
+void addDefaultSenders (LimitFleet& fleet)
 {
     fleet.addSender (makeOrganisation ("large", 160, 160), 100);
     fleet.addSender (makeOrganisation ("middling", 32, 32), 20);
@@ -202,13 +203,13 @@
 
 } // namespace
 
-TEST_CASE ("below their limits all are served, wherever requests arrive")
+TEST_CASE ("requests below the limit are allowed, whichever nodes they arrive at")
 {
     for (const bool isUneven : { false, true })
     {
         CAPTURE (isUneven);
         LimitFleet fleet (68);
-        addUsualSenders (fleet);
+        addDefaultSenders (fleet);
         fleet.load (seconds (15), isUneven);
 
         for (const auto& sender : fleet.m_senders)
@@ -219,22 +220,22 @@
     }
 }
 
-TEST_CASE ("fixed shares refuse much of what lies below the limit")
+TEST_CASE ("fixed shares refuse many requests below the limit if the load is uneven")
 {
     LimitFleet fleet (68, LimitSharing::fixedShares);
-    addUsualSenders (fleet);
+    addDefaultSenders (fleet);
     fleet.load (seconds (15), true);
     CHECK (fleet.refusedShare ("large") > 0.2);
     checkWindows (fleet);
 }
 
-TEST_CASE ("one that sends many times its usual stays within its limit and is told when to return")
+TEST_CASE ("an organisation that sends far more than its limit is held to it, and is told when to retry")
 {
     for (const unsigned nodes : { 15U, 68U, 200U })
     {
         CAPTURE (nodes);
         LimitFleet fleet (nodes);
-        addUsualSenders (fleet);
+        addDefaultSenders (fleet);
         fleet.load (seconds (2));
         const auto since = fleet.now();
 
@@ -244,7 +245,8 @@
         fleet.load (seconds (12));
         checkWindows (fleet);
 
-        // A limit of 1.6 times of what is 7.5 times: no less than that is let through.
+        // The limit is 1.6 times the default load, and 7.5 times that load is sent: the limit is used up
+        // fully.
         CHECK (fleet.refusedShare ("large", since) < 1.0 - 1.6 / 7.5 + 0.01);
         CHECK (fleet.refusedShare ("small", since) < 1.0 - 1.6 / 7.5 + 0.05);
         fleet.run (seconds (1));
@@ -254,21 +256,21 @@
     }
 }
 
-TEST_CASE ("the windows hold while a home is killed, frozen or cut off under a burst")
+TEST_CASE ("limits are kept while a home is killed, restarted, frozen or isolated under overload")
 {
-    enum class Trouble
+    enum class Fault
     {
         killed,
         restarted,
         frozen,
-        cutOff
+        isolated
     };
 
-    for (const auto trouble : { Trouble::killed, Trouble::restarted, Trouble::frozen, Trouble::cutOff })
+    for (const auto fault : { Fault::killed, Fault::restarted, Fault::frozen, Fault::isolated })
     {
-        CAPTURE (static_cast<int> (trouble));
+        CAPTURE (static_cast<int> (fault));
         LimitFleet fleet (40);
-        addUsualSenders (fleet);
+        addDefaultSenders (fleet);
 
         for (auto& sender : fleet.m_senders)
             sender.m_perSecond *= 4.0;
@@ -276,15 +278,15 @@
         fleet.load (seconds (2));
         const auto home = fleet.homeOf ("large");
 
-        if (trouble == Trouble::frozen)
+        if (fault == Fault::frozen)
             fleet.freeze (home, seconds (3));
-        else if (trouble == Trouble::cutOff)
+        else if (fault == Fault::isolated)
             for (const auto& name : fleet.m_names)
                 fleet.cut (home, name);
         else
             fleet.kill (home);
 
-        if (trouble == Trouble::restarted)
+        if (fault == Fault::restarted)
         {
             fleet.load (Milliseconds (300));
             fleet.start (home);
@@ -298,12 +300,12 @@
     }
 }
 
-TEST_CASE ("two halves of a fleet that is split allow one limit together")
+TEST_CASE ("the two sides of a network partition together stay within one limit")
 {
     struct Row
     {
         std::size_t m_part;
-        Duration m_hotBefore; /**< the split: at 0 both halves have a whole burst left */
+        Duration m_overloadBefore; /**< the partition; at 0 both sides still have their full burst */
     };
 
     for (const auto& row :
@@ -311,22 +313,22 @@
     {
         const auto part = row.m_part;
         CAPTURE (part);
-        CAPTURE (row.m_hotBefore.count());
+        CAPTURE (row.m_overloadBefore.count());
         LimitFleet fleet (40);
-        addUsualSenders (fleet);
+        addDefaultSenders (fleet);
         fleet.load (seconds (2));
 
         for (auto& sender : fleet.m_senders)
             sender.m_perSecond *= 6.0;
 
-        fleet.load (row.m_hotBefore);
-        const auto splitAt = fleet.now();
-        fleet.split (part);
+        fleet.load (row.m_overloadBefore);
+        const auto partitionedAt = fleet.now();
+        fleet.partition (part);
         fleet.load (seconds (12));
         checkWindows (fleet);
 
-        // Both go on: each half lets through what is its part, once it has noticed.
-        CHECK (fleet.refusedShare ("large", splitAt + seconds (4)) < 1.0 - 0.8 * 1.6 / 6.0);
+        // Each side allows its share of the limit once it has detected the partition.
+        CHECK (fleet.refusedShare ("large", partitionedAt + seconds (4)) < 1.0 - 0.8 * 1.6 / 6.0);
 
         fleet.healAll();
         fleet.load (seconds (8));
@@ -334,10 +336,10 @@
     }
 }
 
-TEST_CASE ("a lowered limit holds one window after it is known")
+TEST_CASE ("a lowered limit is enforced one window after it came into force")
 {
     LimitFleet fleet (40);
-    addUsualSenders (fleet);
+    addDefaultSenders (fleet);
     fleet.load (seconds (4));
 
     for (auto& sender : fleet.m_senders)
@@ -349,15 +351,16 @@
     fleet.declare();
     const auto loweredAt = fleet.now();
     fleet.load (seconds (4));
-    CHECK (fleet.refusedShare ("large", loweredAt) < 0.02); // the windows before still count
+    CHECK (fleet.refusedShare ("large", loweredAt) < 0.02); // the previous limit is still enforced
     fleet.load (seconds (12));
     checkWindows (fleet, loweredAt + window);
 }
 
-TEST_CASE ("a node without a home goes by half of its own part, and says that it does not know")
+TEST_CASE (
+    "a node without a reachable home enforces half of its own share, and reports that the limit is unknown")
 {
     LimitFleet fleet (10);
-    addUsualSenders (fleet);
+    addDefaultSenders (fleet);
     const auto& alone = fleet.m_names.back();
 
     for (const auto& name : fleet.m_names)
@@ -375,10 +378,10 @@
     CHECK (fleet.answers().at (second).m_result.m_outcome == Outcome::notRun);
 }
 
-TEST_CASE ("what is counted of organisations is no more than are declared")
+TEST_CASE ("counts are kept for declared organisations only")
 {
     LimitFleet fleet (10);
-    addUsualSenders (fleet);
+    addDefaultSenders (fleet);
     const auto& name = fleet.m_names.front();
     fleet.tell (name, PeerMessageReceived { 1, { fleet.m_names.back(), 1 }, LimitQuestion { 1, "nobody" } });
     fleet.load (seconds (2));
@@ -404,7 +407,7 @@
     CHECK (fleet.reducer (name).relay().limits().counts().count ("small") == 0);
 }
 
-TEST_CASE ("an organisation without a limit is asked nothing")
+TEST_CASE ("the requests of an organisation without a limit are never refused")
 {
     LimitFleet fleet (10);
     fleet.addSender ({ "free", 0, std::nullopt, { "key-of-free" } }, 50);
