--- a/modules/plankledge_policy/relay/limits/OrganisationCounts.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationCounts.h
@@ -13,8 +13,10 @@
 {
     std::uint64_t m_admitted = 0;    /**< received here, within the limit and forwarded */
     std::uint64_t m_beyondLimit = 0; /**< received here, refused because of the limit */
-    std::uint64_t m_limitUnknown =
-        0; /**< received here, refused because no home answered and the local share was used up */
+
+    /** Received here, refused because no home answered and the local share was used up. */
+    std::uint64_t m_limitUnknown = 0;
+
     std::uint64_t m_counted = 0; /**< received by any node, allowed by this node as the home */
 
     auto operator<=> (const OrganisationCount&) const = default;
--- a/modules/plankledge_policy/retries/RetryBudget.h
+++ b/modules/plankledge_policy/retries/RetryBudget.h
@@ -10,13 +10,13 @@
 
 //==============================================================================
 /**
-    Bounds the retries of one request over its whole call chain.
+    Limits the retries of one request over its whole call chain.
 
-    A budget is split among child calls and what they return is added back, so
-    the sum of retries never exceeds the root's budget; the share of a child that
-    never answers counts as spent.
+    Each child call is granted a part of the budget and returns what it did not use, so that the retries of
+    the whole chain never exceed the budget of the root. A grant to a child that never answers counts as
+    spent.
 
-    Units: whole retries. Not thread-safe.
+    Units: retries. Not thread-safe.
 
     @see RetryThrottle
 */
@@ -24,13 +24,13 @@
 {
 public:
     //==============================================================================
-    /** @param allowance   retries that may be spent here and below; 0 forbids any */
+    /** @param allowance   retries that this call and its child calls may spend; 0 for none */
     explicit RetryBudget (RetryCount allowance = 0) noexcept
         : m_remaining (allowance)
     {
     }
 
-    /** Takes one retry.
+    /** Takes one retry from the budget.
 
         @returns whether there was one
     */
@@ -43,18 +43,21 @@
         return true;
     }
 
-    /** Takes a share for a child call: half of what is left, rounded down. */
+    /** Takes the grant for a child call from the budget.
+
+        @returns half of the remaining retries, rounded down
+    */
     [[nodiscard]] RetryCount grant() noexcept
     {
-        const auto share = m_remaining / 2;
-        m_remaining -= share;
-        return share;
+        const auto granted = m_remaining / 2;
+        m_remaining -= granted;
+        return granted;
     }
 
-    /** Adds back what a child did not use.
+    /** Returns the retries that a child call did not use to the budget.
 
-        @param returned   what the child says is left
-        @param granted    what it was given; a larger return is cut to this
+        @param returned   retries left according to the child; limited to granted
+        @param granted    retries that it was granted
     */
     void takeBack (RetryCount returned, RetryCount granted) noexcept
     {
--- a/modules/plankledge_policy/retries/RetryDecision.cpp
+++ b/modules/plankledge_policy/retries/RetryDecision.cpp
@@ -6,10 +6,10 @@
 namespace
 {
 
-constexpr std::uint32_t mostRedirects = 3;
+constexpr std::uint32_t maxRedirects = 3;
 constexpr std::uint32_t baselineRetriesPerHop = 2;
 
-/** @returns whether the instance never took the call, so that another may have it without a retry */
+/** @returns whether the instance did not accept the call, so that another attempt is no retry */
 bool isRedirect (const CallResult& result) noexcept
 {
     if (result.m_outcome != Outcome::notRun)
@@ -29,7 +29,7 @@
     }
 }
 
-/** @returns whether no other instance can help, whatever the budget */
+/** @returns whether an attempt at another instance would be pointless */
 bool isFinal (const CallResult& result) noexcept
 {
     return result.m_isFinal || ! canPassLater (result.m_reason);
@@ -54,7 +54,7 @@
 
     if (isRedirect (result))
     {
-        if (history.m_redirects >= mostRedirects)
+        if (history.m_redirects >= maxRedirects)
             return deny (RetryDenied::final);
 
         ++history.m_redirects;
@@ -65,7 +65,7 @@
     if (! turn.isBaseline() && isFinal (result))
         return deny (RetryDenied::final);
 
-    if (! mayRetry (turn, subject, history))
+    if (! takeRetry (turn, subject, history))
         return false;
 
     ++history.m_retries;
@@ -74,7 +74,7 @@
     return true;
 }
 
-bool RetryDecision::mayRetry (Turn& turn, const RetrySubject& subject, const RetryHistory& history)
+bool RetryDecision::takeRetry (Turn& turn, const RetrySubject& subject, const RetryHistory& history)
 {
     if (turn.isBaseline())
         return history.m_retries < baselineRetriesPerHop;
--- a/modules/plankledge_policy/retries/RetryDecision.h
+++ b/modules/plankledge_policy/retries/RetryDecision.h
@@ -8,10 +8,10 @@
 namespace plankledge
 {
 
-/** What was done for one request besides its first sending. */
+/** Attempts made for one request after the first one. */
 struct RetryHistory
 {
-    std::uint32_t m_redirects = 0; /**< to another instance, since one never took it */
+    std::uint32_t m_redirects = 0; /**< attempts at another instance after one did not accept the request */
     std::uint32_t m_retries = 0;
 };
 
@@ -21,32 +21,35 @@
     const ServiceName& m_service;
     bool m_isRepeatable = false;
     Time m_deadline;
-    RetryBudget* m_budget = nullptr; /**< nullptr: its parent has ended */
+    RetryBudget* m_budget = nullptr; /**< nullptr if the parent call has ended */
 };
 
 //==============================================================================
 /**
-    Decides whether a call that was refused or lost goes to another instance.
+    Decides whether a call that was refused or lost is sent to another instance.
 
-    An instance that never took the call costs no retry, but only a few are tried.
-    Otherwise the work must be repeatable or have run nowhere, and time, the chain's
-    budget and the service's throttle must allow it.
+    If an instance did not accept the call, the next attempt is a redirect, which does not count as a retry
+    but is limited in number. Otherwise the operation must be repeatable or must not have run, and the
+    deadline, the budget of the call chain and the throttle of the service must allow a retry.
 */
 class RetryDecision
 {
 public:
     //==============================================================================
-    /** A request to the service came in: it earns part of a retry. */
+    /** Called for each request to the service. Adds to the tokens of its throttle. */
     void onCall (const ServiceName& service) { m_throttles[service].onCall(); }
 
-    /** @returns whether the request goes to another instance; counts why, or why not, and takes what that
-     * costs */
+    /** Decides on another attempt. Counts the decision by its reason, and takes the retry from the budget and
+        the throttle.
+
+        @returns whether the request is sent to another instance
+    */
     bool mayGoAgain (Turn& turn, const RetrySubject& subject, const CallResult& result,
                      RetryHistory& history);
 
 private:
     //==============================================================================
-    bool mayRetry (Turn& turn, const RetrySubject& subject, const RetryHistory& history);
+    bool takeRetry (Turn& turn, const RetrySubject& subject, const RetryHistory& history);
 
     std::map<ServiceName, RetryThrottle> m_throttles;
 };
--- a/modules/plankledge_policy/retries/RetryThrottle.h
+++ b/modules/plankledge_policy/retries/RetryThrottle.h
@@ -7,10 +7,10 @@
 
 //==============================================================================
 /**
-    Caps the retries towards one service at a share of its calls, whatever each
-    request's budget allows.
+    Token bucket that limits the retries to one service to a fraction of its calls, in addition to the
+    budgets of the requests.
 
-    Units: a call earns earnedPerCall of a retry, up to a burst.
+    Units: tokens, one per retry.
 
     @see RetryBudget
 */
@@ -18,12 +18,19 @@
 {
 public:
     //==============================================================================
-    static constexpr double earnedPerCall = 0.05;
+    /** Tokens added per call. */
+    static constexpr double tokensPerCall = 0.05;
+
+    /** Capacity of the bucket. */
     static constexpr double burst = 10.0;
 
-    void onCall() noexcept { m_tokens = std::min (burst, m_tokens + earnedPerCall); }
+    /** Adds the tokens for a call, up to the burst. */
+    void onCall() noexcept { m_tokens = std::min (burst, m_tokens + tokensPerCall); }
+
+    /** Takes a token for a retry.
 
-    /** @returns whether one more retry is allowed, and takes it */
+        @returns whether there was one
+    */
     [[nodiscard]] bool allow() noexcept
     {
         if (m_tokens < 1.0)
