--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -99,30 +99,30 @@
         broadcast (turn, m_self.m_instance, std::exchange (m_pendingNews, {}));
 }
 
-void CrashGuard::onNews (Turn& turn, const InstanceName& from, const CrashNews& news)
+void CrashGuard::onNews (Turn& turn, const InstanceName& from, const CrashNews& update)
 {
-    CrashNews fresh;
+    CrashNews unseen;
 
     // Acquittals first: they may also clear crashes reported in the same message.
-    for (const auto& acquittal : news.m_acquittals)
+    for (const auto& acquittal : update.m_acquittals)
         if (m_ledger.learn (acquittal, turn.now()))
-            fresh.m_acquittals.push_back (acquittal);
+            unseen.m_acquittals.push_back (acquittal);
 
-    for (const auto& report : news.m_crashes)
+    for (const auto& report : update.m_crashes)
         if (m_ledger.learn (report, turn.now()))
-            fresh.m_crashes.push_back (report);
+            unseen.m_crashes.push_back (report);
 
     logHeld (turn);
 
-    if (! fresh.isEmpty())
-        broadcast (turn, from, fresh);
+    if (! unseen.isEmpty())
+        broadcast (turn, from, unseen);
 }
 
-void CrashGuard::broadcast (Turn& turn, const InstanceName& from, const CrashNews& news) const
+void CrashGuard::broadcast (Turn& turn, const InstanceName& from, const CrashNews& update) const
 {
     for (const auto* peer : m_peers.others())
         if (peer->m_isHeard && peer->m_member.m_id.m_instance != from)
-            turn.emit (SendToPeer { peer->m_member.m_id.m_instance, peer->m_member.m_endpoint, news });
+            turn.emit (SendToPeer { peer->m_member.m_id.m_instance, peer->m_member.m_endpoint, update });
 }
 
 void CrashGuard::logHeld (Turn& turn)
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -50,7 +50,7 @@
     /** Sends new findings to the peers. Called every 100 ms. */
     void onWindowEnd (Turn& turn, const TargetId& target);
 
-    void onNews (Turn& turn, const InstanceName& from, const CrashNews& news);
+    void onNews (Turn& turn, const InstanceName& from, const CrashNews& update);
     void onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const;
 
     /** Compares a peer's ledger digest with this node's, and requests the peer's ledger if they keep
@@ -62,7 +62,7 @@
 
 private:
     //==============================================================================
-    void broadcast (Turn& turn, const InstanceName& from, const CrashNews& news) const;
+    void broadcast (Turn& turn, const InstanceName& from, const CrashNews& update) const;
     void logHeld (Turn& turn);
 
     const NodeId m_self;
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
@@ -54,9 +54,9 @@
     for (const auto content : report.m_suspects)
         addSuspect (report.m_id, crash, content);
 
-    const bool isNews = isNew || m_suspectCount != before;
+    const bool hasChanged = isNew || m_suspectCount != before;
     enforceSuspectLimit();
-    return isNews;
+    return hasChanged;
 }
 
 void CrashLedger::addSuspect (const CrashId& id, Crash& crash, ContentDigest content)
@@ -114,7 +114,7 @@
         m_digest ^= rendezvousWeight (acquittal.m_content, "acquitted");
 
     found->second = std::max (found->second, at);
-    bool isNews = isNew;
+    bool hasChanged = isNew;
 
     if (const auto suspect = m_suspects.find (acquittal.m_content); suspect != m_suspects.end())
     {
@@ -126,7 +126,7 @@
                 continue;
 
             removeSuspect (id, acquittal.m_content);
-            isNews = true;
+            hasChanged = true;
         }
     }
 
@@ -139,7 +139,7 @@
         m_acquitted.erase (oldest);
     }
 
-    return isNews;
+    return hasChanged;
 }
 
 //==============================================================================
@@ -227,18 +227,18 @@
 
 CrashNews CrashLedger::all (Time now) const
 {
-    CrashNews news;
+    CrashNews update;
 
     for (const auto& [id, crash] : m_crashes)
-        news.m_crashes.push_back ({ id,
-                                    now - crash.m_at,
-                                    crash.m_isWithdrawn,
-                                    { crash.m_suspects.begin(), crash.m_suspects.end() } });
+        update.m_crashes.push_back ({ id,
+                                      now - crash.m_at,
+                                      crash.m_isWithdrawn,
+                                      { crash.m_suspects.begin(), crash.m_suspects.end() } });
 
     for (const auto& [content, at] : m_acquitted)
-        news.m_acquittals.push_back ({ content, now - at });
+        update.m_acquittals.push_back ({ content, now - at });
 
-    return news;
+    return update;
 }
 
 /** Adds a crash in the given state to the digest, or removes it if it is included already. */
