--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -140,7 +140,7 @@
 void CrashGuard::onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const
 {
     if (pull.m_have != m_ledger.digest())
-        turn.emit (ReplyOnLink { link, from, m_ledger.all (turn.now()) });
+        turn.emit (ReplyOnLink { link, from, m_ledger.snapshot (turn.now()) });
 }
 
 void CrashGuard::onDigest (Turn& turn, const Peer& peer, std::uint64_t digest)
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
@@ -225,7 +225,7 @@
     }
 }
 
-CrashNews CrashLedger::all (Time now) const
+CrashNews CrashLedger::snapshot (Time now) const
 {
     CrashNews update;
 
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.h
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.h
@@ -85,7 +85,7 @@
     void removeExpired (Time now);
 
     /** @returns the complete ledger, as a message to another node */
-    CrashNews all (Time now) const;
+    CrashNews snapshot (Time now) const;
 
     /** @returns a digest that is equal for equal ledgers; 0 if the ledger is empty */
     std::uint64_t digest() const noexcept { return m_digest; }
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -249,8 +249,7 @@
                                { "share", fmt::format ("{:.2f}", m_reachableShare) } } });
 }
 
-/** Removes the buckets of organisations that have another home now. If one returns, its bucket would be out
-   of date. */
+/** Removes the buckets of organisations that have another home now, since they go out of date. */
 void OrganisationLimits::dropMovedBuckets()
 {
     std::erase_if (m_homeBuckets, [this] (const auto& entry) {
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashLedger_test.cpp
@@ -187,12 +187,12 @@
 
         // A node with an empty ledger that receives the complete one ends up with the same digest.
         CrashLedger third;
-        const auto all = one.all (end);
+        const auto snapshot = one.snapshot (end);
 
-        for (const auto& report : all.m_crashes)
+        for (const auto& report : snapshot.m_crashes)
             third.learn (report, end);
 
-        for (const auto& acquittal : all.m_acquittals)
+        for (const auto& acquittal : snapshot.m_acquittals)
             third.learn (acquittal, end);
 
         CHECK (third.digest() == one.digest());
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -5,8 +5,8 @@
 #include <cstdlib>
 #include <doctest/doctest.h>
 
-/*  Guards against a repeated request that crashes every target that runs it. Sent under a new id and to
-   another node each time, it used to be passed on until all targets of the service had crashed. */
+/*  Guards against a request that crashes every target that runs it, and that is sent repeatedly under new
+    ids to different nodes, until all targets of the service have crashed. */
 namespace plankledge::test
 {
 
@@ -212,7 +212,7 @@
 
 //==============================================================================
 /*  Up to a third of the targets crashes every five seconds, independently of the requests. A tenth of the
-   requests asks for one of a hundred popular contents, and callers repeat a failed request once. */
+    requests asks for one of a hundred popular contents, and callers repeat a failed request once. */
 TEST_CASE ("no request is held for crashes that it did not cause")
 {
     const auto* setting = std::getenv ("PLANKLEDGE_INNOCENT_REQUESTS");
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -71,7 +71,7 @@
         publish (makeTable (++m_version, { read }, Organisations (organisations)));
     }
 
-    /** Sends the requests of all organisations to random nodes, or a third of them to the first node. */
+    /** Sends all requests to random nodes, or a third of them to the first node if uneven. */
     void load (Duration duration, bool isUneven = false)
     {
         constexpr Duration step = Milliseconds (5);
@@ -130,8 +130,7 @@
         return static_cast<double> (most) / allowed;
     }
 
-    /** @returns the fraction of an organisation's requests since the given time that were refused because of
-       its limit */
+    /** @returns the fraction of an organisation's requests since the given time that its limit refused */
     double refusedShare (const OrganisationName& name, Time since = {}) const
     {
         double refused = 0.0;
