--- a/modules/plankledge_core/CrashMessages.h
+++ b/modules/plankledge_core/CrashMessages.h
@@ -58,12 +58,12 @@
 };
 
 /** Told to peers when it is new, and in answer to CrashPull. */
-struct CrashNews
+struct CrashUpdate
 {
     std::vector<CrashReport> m_crashes;
     std::vector<CrashAcquittal> m_acquittals;
 
-    auto operator<=> (const CrashNews&) const = default;
+    auto operator<=> (const CrashUpdate&) const = default;
 
     bool isEmpty() const noexcept { return m_crashes.empty() && m_acquittals.empty(); }
 
--- a/modules/plankledge_core/Outcome.cpp
+++ b/modules/plankledge_core/Outcome.cpp
@@ -131,7 +131,7 @@
     }
 }
 
-bool canPassLater (Reason reason) noexcept
+bool isTransient (Reason reason) noexcept
 {
     switch (reason)
     {
--- a/modules/plankledge_core/Outcome.h
+++ b/modules/plankledge_core/Outcome.h
@@ -97,6 +97,6 @@
 unsigned httpStatusOf (Outcome outcome, Reason reason) noexcept;
 
 /** @returns whether asking again later can end differently */
-bool canPassLater (Reason reason) noexcept;
+bool isTransient (Reason reason) noexcept;
 
 } // namespace plankledge
--- a/modules/plankledge_core/PeerMessages.h
+++ b/modules/plankledge_core/PeerMessages.h
@@ -110,14 +110,14 @@
     std::uint16_t m_status = 0; /**< the target's HTTP status; 0 where the system answers */
     std::string m_contentType;
     std::string m_body;
-    Duration m_comeBack {}; /**< when to ask again; 0: not said */
-    bool m_isFinal = false; /**< refused deeper in the chain: no use in asking a neighbour */
+    Duration m_retryAfter {}; /**< when to ask again; 0: not said */
+    bool m_isFinal = false;   /**< refused deeper in the chain: no use in asking a neighbour */
 
     auto operator<=> (const CallResult&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
-        archive (m_outcome, m_reason, m_status, m_contentType, m_body, m_comeBack, m_isFinal);
+        archive (m_outcome, m_reason, m_status, m_contentType, m_body, m_retryAfter, m_isFinal);
     }
 };
 
@@ -314,7 +314,7 @@
                  JoinAcknowledgement, Heartbeat, Handover, HandoverAcknowledgement, LeaveNotice,
                  LeaveAcknowledgement, ConfigurationPull, ConfigurationState, RelayRequest, RelayAnswer,
                  RelayCancel, PeerHello, PeerStatus, RoutesPull, RoutesText, MembersPull, MembersTold,
-                 ProofQuestion, ProofAnswer, LimitQuestion, LimitAnswer, CrashNews, CrashPull>;
+                 ProofQuestion, ProofAnswer, LimitQuestion, LimitAnswer, CrashUpdate, CrashPull>;
 
 //==============================================================================
 /** A UDP datagram: who the sender is, what it has in force, and a few members it heard of lately. */
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -70,13 +70,13 @@
     Outcome m_outcome = Outcome::unknown;
     Reason m_reason = Reason::none; /**< why there is no target's answer */
     RelayedAnswer m_answer;         /**< where the outcome is completed */
-    Duration m_comeBack {};         /**< after a refusal: when to ask again; 0: not said */
+    Duration m_retryAfter {};       /**< after a refusal: when to ask again; 0: not said */
 
     auto operator<=> (const RelayResult&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
-        archive (m_outcome, m_reason, m_answer, m_comeBack);
+        archive (m_outcome, m_reason, m_answer, m_retryAfter);
     }
 };
 
@@ -137,24 +137,25 @@
     RouteName m_route;
     OrganisationName m_organisation;       /**< that the request's key belongs to; empty: it needs none */
     ContentDigest m_digest = 0;            /**< of what it asks */
-    std::optional<Duration> m_keyHoldsFor; /**< it may not begin to run later than this after it was sent;
+    std::optional<Duration> m_keyValidFor; /**< it may not begin to run later than this after it was sent;
                                               nullopt: no such bound */
-    std::uint16_t m_urgency = 0;           /**< the smaller, the sooner run */
-    bool m_isRepeat = false;       /**< it, or a request that it is a call of, was sent to a target before */
-    bool m_isNested = false;       /**< a call made by a target for a request that runs already */
-    Duration m_chainAge {};        /**< since the request at the head of the chain came to its entry */
-    Duration m_timeLeft {};        /**< until nobody waits for the answer, when this was sent */
-    Duration m_longestQueueing {}; /**< it is refused rather than kept waiting longer for a slot */
-    Duration m_longestToBegin {};  /**< the same, where nothing of its chain has run at the target yet */
-    Duration m_sentAt {};          /**< by the sender's steady clock; tells how long this was under way */
+    std::uint16_t m_effectivePriority = 0; /**< the smaller, the sooner run */
+    bool m_isRetry = false;     /**< it, or a request that it is a call of, was sent to a target before */
+    bool m_isNested = false;    /**< a call made by a target for a request that runs already */
+    Duration m_chainAge {};     /**< since the request at the head of the chain came to its entry */
+    Duration m_timeLeft {};     /**< until nobody waits for the answer, when this was sent */
+    Duration m_maxQueueTime {}; /**< it is refused rather than kept waiting longer for a slot */
+    Duration
+        m_maxQueueTimeOfNewChain {}; /**< the same, where nothing of its chain has run at the target yet */
+    Duration m_sentAt {};            /**< by the sender's steady clock; tells how long this was under way */
 
     auto operator<=> (const RelayRequest&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
         archive (m_callId, m_content, m_service, m_callerService, m_route, m_organisation, m_digest,
-                 m_keyHoldsFor, m_urgency, m_isRepeat, m_isNested, m_chainAge, m_timeLeft, m_longestQueueing,
-                 m_longestToBegin, m_sentAt);
+                 m_keyValidFor, m_effectivePriority, m_isRetry, m_isNested, m_chainAge, m_timeLeft,
+                 m_maxQueueTime, m_maxQueueTimeOfNewChain, m_sentAt);
     }
 };
 
--- a/modules/plankledge_policy/Counters.h
+++ b/modules/plankledge_policy/Counters.h
@@ -39,7 +39,7 @@
     std::uint64_t m_attached = 0;               /**< duplicates attached to the running request */
     std::uint64_t m_replayed = 0;               /**< duplicates answered from the record */
     std::uint64_t m_inquiries = 0;
-    std::uint64_t m_wakes = 0; /**< detected pauses of the process */
+    std::uint64_t m_detectedPauses = 0; /**< detected pauses of the process */
     std::uint64_t m_invalidConfigurations = 0;
 };
 
--- a/modules/plankledge_policy/Effects.h
+++ b/modules/plankledge_policy/Effects.h
@@ -75,11 +75,11 @@
 };
 
 /** Cancels a call that is no longer needed by closing its connection to the target. */
-struct AbandonTarget
+struct CancelTargetCall
 {
     CallId m_call = 0;
 
-    auto operator<=> (const AbandonTarget&) const = default;
+    auto operator<=> (const CancelTargetCall&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_call); }
 };
@@ -308,7 +308,7 @@
 };
 
 using Effect =
-    std::variant<AnswerRequest, SendToPeer, ReplyOnLink, SendRumour, DispatchToTarget, AbandonTarget,
+    std::variant<AnswerRequest, SendToPeer, ReplyOnLink, SendRumour, DispatchToTarget, CancelTargetCall,
                  FetchList, ReadLog, AppendJoin, AppendCheckpoint, WriteLog, Exit, AnswerRelay, RelayToTarget,
                  DropTargetConnections, ReadTopic, PublishMember, WithdrawMember, LogDecision>;
 
--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -41,11 +41,11 @@
 };
 
 /** The sender of the request closed the connection. */
-struct RequesterGone
+struct CallerDisconnected
 {
     Ticket m_ticket = 0;
 
-    auto operator<=> (const RequesterGone&) const = default;
+    auto operator<=> (const CallerDisconnected&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_ticket); }
 };
@@ -394,9 +394,9 @@
 };
 
 using EventBody =
-    std::variant<TimePassed, RequestReceived, RequesterGone, PeerMessageReceived, PeerUnreachable, PeerLost,
-                 LinkClosed, RumourReceived, TargetAnswered, TargetFailed, TargetObserved, ListReceived,
-                 ConfigurationRead, JoinsRead, StopRequested, RelayRequestReceived, TargetReply,
+    std::variant<TimePassed, RequestReceived, CallerDisconnected, PeerMessageReceived, PeerUnreachable,
+                 PeerLost, LinkClosed, RumourReceived, TargetAnswered, TargetFailed, TargetObserved,
+                 ListReceived, ConfigurationRead, JoinsRead, StopRequested, RelayRequestReceived, TargetReply,
                  TargetAnnounced, RoutesRead, RoutesConfirmed, MembersRead, StoreReached, StoreRestored>;
 
 //==============================================================================
--- a/modules/plankledge_policy/KeyedRequests.h
+++ b/modules/plankledge_policy/KeyedRequests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/admission/ThresholdBook.h"
+#include "plankledge_policy/admission/ThresholdCache.h"
 #include "plankledge_policy/calls/InboundCalls.h"
 #include "plankledge_policy/calls/OutgoingCalls.h"
 #include "plankledge_policy/configuration/ConfigurationSync.h"
@@ -50,7 +50,10 @@
 
     //==============================================================================
     void handle (const RequestReceived& event);
-    void handle (const RequesterGone& event) { m_outgoing.onRequesterGone (m_turn, event.m_ticket); }
+    void handle (const CallerDisconnected& event)
+    {
+        m_outgoing.onCallerDisconnected (m_turn, event.m_ticket);
+    }
     void handle (const PeerUnreachable& event);
     void handle (const PeerLost& event);
     void handle (const LinkClosed& event) { m_inbound.onLinkClosed (m_turn, event.m_link); }
@@ -96,7 +99,7 @@
     TimerQueue& m_timers;
     Membership m_membership;
     Router m_router;
-    ThresholdBook m_thresholds;
+    ThresholdCache m_thresholds;
     InboundCalls m_inbound;
     OutgoingCalls m_outgoing;
     Rumours m_rumours;
--- a/modules/plankledge_policy/NodeSettings.h
+++ b/modules/plankledge_policy/NodeSettings.h
@@ -24,7 +24,7 @@
     bool m_membersInAnswers = true;
     bool m_fencesInAcknowledgement = true;
     bool m_transitTime = true;
-    bool m_newcomersMustBeAsked = true;
+    bool m_newMembersMustBeAsked = true;
     bool m_membersInLeaveNotice = true;
 
     auto operator<=> (const Mechanisms&) const = default;
@@ -32,7 +32,7 @@
     template <class Archive> void serialize (Archive& archive)
     {
         archive (m_fences, m_joinAcknowledgement, m_handover, m_lostMemory, m_membersInAnswers,
-                 m_fencesInAcknowledgement, m_transitTime, m_newcomersMustBeAsked, m_membersInLeaveNotice);
+                 m_fencesInAcknowledgement, m_transitTime, m_newMembersMustBeAsked, m_membersInLeaveNotice);
     }
 };
 
@@ -47,16 +47,16 @@
 
     Duration m_heartbeatPeriod = std::chrono::seconds (2);
     Duration m_rumourPeriod = Milliseconds (500);
-    Duration m_listPeriod = std::chrono::seconds (2);    /**< minimum; grows with the cluster */
-    Duration m_logPeriod = std::chrono::seconds (1);     /**< minimum; grows with the cluster */
-    Duration m_joinPeriod = Milliseconds (500);          /**< between join requests */
-    Duration m_drainGrace = std::chrono::seconds (1);    /**< a leaving node accepts calls for this long */
-    Duration m_longestDrain = std::chrono::seconds (40); /**< a leaving node then exits with calls running */
-    Duration m_listLagBound = std::chrono::seconds (30); /**< maximum delay until an instance is listed */
-    Duration m_dropAfterSilence = std::chrono::seconds (5);  /**< until an unlisted member is removed */
+    Duration m_listPeriod = std::chrono::seconds (2);     /**< minimum; grows with the cluster */
+    Duration m_logPeriod = std::chrono::seconds (1);      /**< minimum; grows with the cluster */
+    Duration m_joinPeriod = Milliseconds (500);           /**< between join requests */
+    Duration m_drainGrace = std::chrono::seconds (1);     /**< a leaving node accepts calls for this long */
+    Duration m_drainTimeout = std::chrono::seconds (40);  /**< a leaving node then exits with calls running */
+    Duration m_listLagBound = std::chrono::seconds (30);  /**< maximum delay until an instance is listed */
+    Duration m_silenceTimeout = std::chrono::seconds (5); /**< until an unlisted member is removed */
     Duration m_checkpointPeriod = std::chrono::seconds (60); /**< between checkpoints of the declarations */
     Duration m_pauseThreshold = Milliseconds (700); /**< longest gap between events without a pause */
-    std::uint32_t m_mostRecords = 100000;           /**< maximum number of idempotency records */
+    std::uint32_t m_maxRecords = 100000;            /**< maximum number of idempotency records */
 
     auto operator<=> (const NodeSettings&) const = default;
 
@@ -64,8 +64,8 @@
     {
         archive (m_self, m_seed, m_policy, m_mechanisms);
         archive (m_heartbeatPeriod, m_rumourPeriod, m_listPeriod, m_logPeriod, m_joinPeriod);
-        archive (m_drainGrace, m_longestDrain, m_listLagBound, m_dropAfterSilence, m_checkpointPeriod);
-        archive (m_pauseThreshold, m_mostRecords);
+        archive (m_drainGrace, m_drainTimeout, m_listLagBound, m_silenceTimeout, m_checkpointPeriod);
+        archive (m_pauseThreshold, m_maxRecords);
     }
 };
 
--- a/modules/plankledge_policy/Reducer.cpp
+++ b/modules/plankledge_policy/Reducer.cpp
@@ -74,7 +74,7 @@
     if (pause <= m_settings.m_pauseThreshold)
         return;
 
-    ++m_counters.m_wakes;
+    ++m_counters.m_detectedPauses;
 
     if (m_keyed != nullptr)
         m_keyed->onPause();
--- a/modules/plankledge_policy/TimerQueue.h
+++ b/modules/plankledge_policy/TimerQueue.h
@@ -24,12 +24,12 @@
     drain,
     housekeeping,
     checkpoint,
-    relayDeadline,   /**< deadline of a request at its entry node */
-    relayHold,       /**< end of a request's wait for a target at its entry node */
-    gateDeadline,    /**< deadline of a request in the gate */
-    gateHold,        /**< end of a request's wait in the gate */
-    relayWindow,     /**< retries held requests and detects silent peers */
-    admissionPeriod, /**< updates the admission level of the gate */
+    relayDeadline,     /**< deadline of a request at its entry node */
+    relayQueueTimeout, /**< end of a request's wait for a target at its entry node */
+    gateDeadline,      /**< deadline of a request in the gate */
+    gateQueueTimeout,  /**< end of a request's wait in the gate */
+    relayWindow,       /**< retries held requests and detects silent peers */
+    admissionPeriod,   /**< updates the admission level of the gate */
     peerHello,
     relayStop
 };
--- a/modules/plankledge_policy/admission/ComeBack.h
+++ b/modules/plankledge_policy/admission/RetryAfter.h
@@ -13,11 +13,11 @@
                      with each attempt, up to four times the first
     @returns zero if a retry could not succeed
 */
-inline Duration comeBackAfter (Turn& turn, Reason reason, std::uint32_t attempt = 1)
+inline Duration computeRetryAfter (Turn& turn, Reason reason, std::uint32_t attempt = 1)
 {
     constexpr std::uint32_t maxDoublings = 2;
 
-    if (! canPassLater (reason))
+    if (! isTransient (reason))
         return Duration::zero();
 
     switch (reason)
--- a/modules/plankledge_policy/admission/ThresholdBook.cpp
+++ b/modules/plankledge_policy/admission/ThresholdCache.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/admission/ThresholdBook.h"
+#include "plankledge_policy/admission/ThresholdCache.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 } // namespace
 
 //==============================================================================
-Rank ThresholdBook::CachedThreshold::relaxed (Time now) const noexcept
+Rank ThresholdCache::CachedThreshold::relaxed (Time now) const noexcept
 {
     const auto age = now - m_at;
 
@@ -29,14 +29,14 @@
     return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * relaxationStep));
 }
 
-void ThresholdBook::onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold,
-                                Time now)
+void ThresholdCache::onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold,
+                                 Time now)
 {
     m_instances[service][instance] = CachedThreshold { threshold, now };
 }
 
-void ThresholdBook::onDownstream (const ServiceName& service, const OperationName& operation,
-                                  const std::vector<ServiceThreshold>& downstream, Time now)
+void ThresholdCache::onDownstream (const ServiceName& service, const OperationName& operation,
+                                   const std::vector<ServiceThreshold>& downstream, Time now)
 {
     if (downstream.empty())
         return;
@@ -51,7 +51,7 @@
             known[entry.m_service] = CachedThreshold { std::min (entry.m_threshold, admitAll), now };
 }
 
-Rank ThresholdBook::ofInstance (const ServiceName& service, const InstanceName& instance, Time now) const
+Rank ThresholdCache::ofInstance (const ServiceName& service, const InstanceName& instance, Time now) const
 {
     const auto byService = m_instances.find (service);
 
@@ -62,7 +62,7 @@
     return cached != byService->second.end() ? cached->second.relaxed (now) : admitAll;
 }
 
-Rank ThresholdBook::ofService (const ServiceName& service, Time now) const
+Rank ThresholdCache::ofService (const ServiceName& service, Time now) const
 {
     const auto byService = m_instances.find (service);
 
@@ -84,8 +84,8 @@
     return isKnown ? highest : admitAll;
 }
 
-Rank ThresholdBook::belowOperation (const ServiceName& service, const OperationName& operation,
-                                    Time now) const
+Rank ThresholdCache::lowestDownstreamThreshold (const ServiceName& service, const OperationName& operation,
+                                                Time now) const
 {
     Rank lowest = admitAll;
 
@@ -96,8 +96,8 @@
     return lowest;
 }
 
-std::vector<ServiceThreshold> ThresholdBook::downstreamOf (const ServiceName& service,
-                                                           const OperationName& operation, Time now) const
+std::vector<ServiceThreshold> ThresholdCache::downstreamOf (const ServiceName& service,
+                                                            const OperationName& operation, Time now) const
 {
     std::vector<ServiceThreshold> result;
 
--- a/modules/plankledge_policy/admission/ThresholdBook.h
+++ b/modules/plankledge_policy/admission/ThresholdCache.h
@@ -15,7 +15,7 @@
     A cached threshold rises with its age: while all calls are refused locally no answer
     can update it, so some calls must be let through to probe the service.
 */
-class ThresholdBook
+class ThresholdCache
 {
 public:
     //==============================================================================
@@ -33,7 +33,8 @@
     Rank ofService (const ServiceName& service, Time now) const;
 
     /** @returns the lowest threshold of the operation's downstream services; admitAll if none is known */
-    Rank belowOperation (const ServiceName& service, const OperationName& operation, Time now) const;
+    Rank lowestDownstreamThreshold (const ServiceName& service, const OperationName& operation,
+                                    Time now) const;
 
     /** @returns the operation's known downstream services with their thresholds */
     std::vector<ServiceThreshold> downstreamOf (const ServiceName& service, const OperationName& operation,
--- a/modules/plankledge_policy/calls/InboundCalls.cpp
+++ b/modules/plankledge_policy/calls/InboundCalls.cpp
@@ -1,7 +1,7 @@
 #include "plankledge_policy/calls/InboundCalls.h"
 
 #include "plankledge_core/Hash.h"
-#include "plankledge_policy/admission/ComeBack.h"
+#include "plankledge_policy/admission/RetryAfter.h"
 #include <algorithm>
 #include <cassert>
 #include <fmt/format.h>
@@ -34,7 +34,7 @@
     CallResult result;
     result.m_outcome = outcome;
     result.m_reason = reason;
-    result.m_comeBack = comeBackAfter (turn, reason);
+    result.m_retryAfter = computeRetryAfter (turn, reason);
     return result;
 }
 
@@ -46,7 +46,7 @@
     return fmt::format ("{}/{}/{}", content.m_service, content.m_operation, idempotency.m_key);
 }
 
-InboundCalls::InboundCalls (const NodeSettings& settings, Membership& membership, ThresholdBook& thresholds,
+InboundCalls::InboundCalls (const NodeSettings& settings, Membership& membership, ThresholdCache& thresholds,
                             Hooks hooks)
     : m_settings (settings)
     , m_membership (membership)
@@ -113,7 +113,7 @@
     if (! m_membership.isCandidate (hashText (key)))
         return refuse (turn, origin, request, Reason::notCandidate);
 
-    if (m_records.size() >= m_settings.m_mostRecords)
+    if (m_records.size() >= m_settings.m_maxRecords)
         return refuse (turn, origin, request, Reason::recordsFull);
 
     if (! m_admission.passesThreshold (request.m_rank))
@@ -318,7 +318,7 @@
     result.m_status = answer.m_status;
     result.m_contentType = answer.m_contentType;
     result.m_body = answer.m_body;
-    result.m_comeBack = answer.m_status >= 500 ? call->m_childComeBack : Duration::zero();
+    result.m_retryAfter = answer.m_status >= 500 ? call->m_childComeBack : Duration::zero();
     settleRecord (turn, *call, result);
     finish (turn, answer.m_call, result);
     dispatchNext (turn);
@@ -392,7 +392,7 @@
         return;
 
     m_admission.onSlotFreed (std::nullopt);
-    turn.emit (AbandonTarget { id });
+    turn.emit (CancelTargetCall { id });
     finish (turn, id, systemResult (turn, Outcome::unknown, Reason::cancelled));
     dispatchNext (turn);
 }
@@ -418,7 +418,7 @@
     if (call.m_isRepeatable)
     {
         m_admission.onSlotFreed (turn.now() - call.m_dispatchedAt);
-        turn.emit (AbandonTarget { id });
+        turn.emit (CancelTargetCall { id });
         finish (turn, id, result);
         return dispatchNext (turn);
     }
@@ -434,7 +434,7 @@
     if (m_calls.find (id) == nullptr)
         return;
 
-    turn.emit (AbandonTarget { id });
+    turn.emit (CancelTargetCall { id });
     onTargetFailed (turn, { id, TargetFailure::broken });
 }
 
@@ -539,7 +539,7 @@
     auto* found = m_calls.find (parent);
 
     if (found != nullptr && result.m_outcome != Outcome::completed)
-        found->m_childComeBack = std::max (found->m_childComeBack, result.m_comeBack);
+        found->m_childComeBack = std::max (found->m_childComeBack, result.m_retryAfter);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -2,7 +2,7 @@
 
 #include "plankledge_policy/Turn.h"
 #include "plankledge_policy/admission/Admission.h"
-#include "plankledge_policy/admission/ThresholdBook.h"
+#include "plankledge_policy/admission/ThresholdCache.h"
 #include "plankledge_policy/calls/InboundCallTable.h"
 #include "plankledge_policy/calls/IntakeGate.h"
 #include "plankledge_policy/membership/Membership.h"
@@ -47,7 +47,7 @@
         std::function<bool()> m_isEstablished;
     };
 
-    InboundCalls (const NodeSettings& settings, Membership& membership, ThresholdBook& thresholds,
+    InboundCalls (const NodeSettings& settings, Membership& membership, ThresholdCache& thresholds,
                   Hooks hooks);
 
     //==============================================================================
@@ -119,7 +119,7 @@
 
     const NodeSettings& m_settings;
     Membership& m_membership;
-    ThresholdBook& m_thresholds;
+    ThresholdCache& m_thresholds;
     Hooks m_hooks;
     Admission m_admission;
     RecordTable m_records;
--- a/modules/plankledge_policy/calls/OutgoingCalls.cpp
+++ b/modules/plankledge_policy/calls/OutgoingCalls.cpp
@@ -1,7 +1,7 @@
 #include "plankledge_policy/calls/OutgoingCalls.h"
 
 #include "plankledge_core/Hash.h"
-#include "plankledge_policy/admission/ComeBack.h"
+#include "plankledge_policy/admission/RetryAfter.h"
 #include <algorithm>
 
 namespace plankledge
@@ -24,7 +24,7 @@
 
 //==============================================================================
 OutgoingCalls::OutgoingCalls (const NodeSettings& settings, Membership& membership, Router& router,
-                              ThresholdBook& thresholds, InboundCalls& inbound, Hooks hooks)
+                              ThresholdCache& thresholds, InboundCalls& inbound, Hooks hooks)
     : m_settings (settings)
     , m_membership (membership)
     , m_router (router)
@@ -141,7 +141,8 @@
 
     const auto& content = request.m_content;
 
-    if (request.m_rank >= m_thresholds.belowOperation (content.m_service, content.m_operation, turn.now()))
+    if (request.m_rank >=
+        m_thresholds.lowestDownstreamThreshold (content.m_service, content.m_operation, turn.now()))
         return Reason::overloadedDownstream;
 
     if (request.m_rank >= m_thresholds.ofService (content.m_service, turn.now()))
@@ -168,7 +169,7 @@
 
 std::optional<Member> OutgoingCalls::chooseInstance (Turn& turn, const Request& request)
 {
-    auto candidates = m_membership.takingWork (request.m_content.m_service);
+    auto candidates = m_membership.acceptingRequests (request.m_content.m_service);
     std::erase_if (candidates,
                    [&] (const Member& member) { return request.m_unfit.contains (member.m_id.m_instance); });
 
@@ -241,7 +242,7 @@
     m_router.onEnded (request.m_instance->m_id.m_instance);
 
     if (auto* budget = budgetOf (request))
-        budget->takeBack (returned, request.m_granted);
+        budget->refund (returned, request.m_granted);
 
     request.m_instance.reset();
     request.m_granted = 0;
@@ -351,7 +352,7 @@
     const RetrySubject subject { request.m_content.m_service, request.m_operation.m_isRepeatable,
                                  request.m_deadline, budgetOf (request) };
 
-    if (! m_retryDecision.mayGoAgain (turn, subject, result, request.m_history))
+    if (! m_retryDecision.admitRetry (turn, subject, result, request.m_history))
         return finish (turn, id, result);
 
     // The baseline asks those that failed again.
@@ -372,7 +373,7 @@
 }
 
 //==============================================================================
-void OutgoingCalls::onRequesterGone (Turn& turn, Ticket ticket)
+void OutgoingCalls::onCallerDisconnected (Turn& turn, Ticket ticket)
 {
     const auto found = m_byTicket.find (ticket);
 
@@ -441,7 +442,7 @@
     CallResult result;
     result.m_outcome = outcome;
     result.m_reason = reason;
-    result.m_comeBack = comeBackAfter (turn, reason, m_requests.at (id).m_idempotency.m_attempt);
+    result.m_retryAfter = computeRetryAfter (turn, reason, m_requests.at (id).m_idempotency.m_attempt);
     result.m_isFinal = true;
     finish (turn, id, std::move (result));
 }
@@ -456,8 +457,8 @@
     if (result.m_outcome == Outcome::notRun && (request.m_mayHaveRun || isResending))
         result.m_outcome = Outcome::unknown;
 
-    if (result.m_outcome != Outcome::completed && result.m_comeBack == Duration::zero())
-        result.m_comeBack = comeBackAfter (turn, result.m_reason, request.m_idempotency.m_attempt);
+    if (result.m_outcome != Outcome::completed && result.m_retryAfter == Duration::zero())
+        result.m_retryAfter = computeRetryAfter (turn, result.m_reason, request.m_idempotency.m_attempt);
 
     m_byTicket.erase (request.m_ticket);
     turn.timers().cancel (request.m_deadline, TimerKind::outgoingDeadline, id);
@@ -484,12 +485,12 @@
     // An earlier sending of the same key may have run, whatever becomes of this one.
     const auto& idempotency = request.m_idempotency;
     const bool isResending =
-        ! idempotency.m_key.empty() && idempotency.m_attempt != 1 && canPassLater (reason);
+        ! idempotency.m_key.empty() && idempotency.m_attempt != 1 && isTransient (reason);
 
     CallResult result;
     result.m_outcome = isResending ? Outcome::unknown : Outcome::notRun;
     result.m_reason = reason;
-    result.m_comeBack = comeBackAfter (turn, reason);
+    result.m_retryAfter = computeRetryAfter (turn, reason);
     ++turn.counters().m_outcomes[static_cast<std::size_t> (result.m_outcome)];
     ++turn.counters().m_systemAnswers[reason];
     turn.emit (AnswerRequest { request.m_ticket, std::move (result) });
--- a/modules/plankledge_policy/calls/OutgoingCalls.h
+++ b/modules/plankledge_policy/calls/OutgoingCalls.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/admission/ThresholdBook.h"
+#include "plankledge_policy/admission/ThresholdCache.h"
 #include "plankledge_policy/calls/InboundCalls.h"
 #include "plankledge_policy/membership/Membership.h"
 #include "plankledge_policy/retries/RetryDecision.h"
@@ -34,11 +34,11 @@
     };
 
     OutgoingCalls (const NodeSettings& settings, Membership& membership, Router& router,
-                   ThresholdBook& thresholds, InboundCalls& inbound, Hooks hooks);
+                   ThresholdCache& thresholds, InboundCalls& inbound, Hooks hooks);
 
     //==============================================================================
     void receive (Turn& turn, const RequestReceived& request);
-    void onRequesterGone (Turn& turn, Ticket ticket);
+    void onCallerDisconnected (Turn& turn, Ticket ticket);
 
     /** Answers a request without taking it in. */
     static void refuse (Turn& turn, const RequestReceived& request, Reason reason);
@@ -99,7 +99,7 @@
     const NodeSettings& m_settings;
     Membership& m_membership;
     Router& m_router;
-    ThresholdBook& m_thresholds;
+    ThresholdCache& m_thresholds;
     InboundCalls& m_inbound;
     Hooks m_hooks;
     std::map<CallId, Request> m_requests;
--- a/modules/plankledge_policy/membership/DrainProtocol.cpp
+++ b/modules/plankledge_policy/membership/DrainProtocol.cpp
@@ -56,7 +56,7 @@
 
     if (m_phase == Phase::finishing)
     {
-        m_timedOut = ! m_hooks.m_isIdle() && sinceStart >= turn.settings().m_longestDrain;
+        m_timedOut = ! m_hooks.m_isIdle() && sinceStart >= turn.settings().m_drainTimeout;
 
         if (m_timedOut)
         {
--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -143,7 +143,7 @@
 
     for (auto& [instance, known] : m_known)
     {
-        const bool isSilent = now - known.m_lastHeard >= settings.m_dropAfterSilence;
+        const bool isSilent = now - known.m_lastHeard >= settings.m_silenceTimeout;
         const bool isSelf = instance == m_self.m_id.m_instance;
 
         if (! isSelf && known.m_isListed && isSilent && ! listedNames.contains (instance))
@@ -253,7 +253,7 @@
     return members;
 }
 
-std::vector<Member> Membership::takingWork (const ServiceName& service) const
+std::vector<Member> Membership::acceptingRequests (const ServiceName& service) const
 {
     std::vector<Member> result;
     const auto names = m_byService.find (service);
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -69,7 +69,7 @@
     std::vector<Member> peers() const;
 
     /** @returns the service's members that take new work, this node included */
-    std::vector<Member> takingWork (const ServiceName& service) const;
+    std::vector<Member> acceptingRequests (const ServiceName& service) const;
 
     /** @returns the members of this node's service, this node included */
     std::vector<Member> ownService() const;
--- a/modules/plankledge_policy/once/InquiryBoard.cpp
+++ b/modules/plankledge_policy/once/InquiryBoard.cpp
@@ -29,7 +29,7 @@
 {
     const auto& question = pending.m_question;
     const auto keyHash = hashText (question.m_key);
-    const auto window = turn.mechanisms().m_newcomersMustBeAsked
+    const auto window = turn.mechanisms().m_newMembersMustBeAsked
                             ? std::optional<Duration> (question.m_window + question.m_transit)
                             : std::nullopt;
 
--- a/modules/plankledge_policy/relay/RelayDecisions.cpp
+++ b/modules/plankledge_policy/relay/RelayDecisions.cpp
@@ -48,8 +48,8 @@
     , m_peers (turn.settings().m_self)
     , m_keys (settings, turn.settings().m_self, m_peers)
     , m_limits (settings, m_routes, m_peers,
-                [this] (Turn& inner, CallId request, const OrganisationLimits::Judgement& judgement) {
-                    m_entry.onJudged (inner, request, judgement);
+                [this] (Turn& inner, CallId request, const OrganisationLimits::LimitDecision& judgement) {
+                    m_entry.onLimitDecided (inner, request, judgement);
                 })
     , m_contacts (turn.settings().m_self)
     , m_store (turn.settings().m_self, m_peers)
@@ -89,12 +89,12 @@
     {
     case TimerKind::relayDeadline:
         return m_entry.onDeadline (m_turn, timer.m_subject);
-    case TimerKind::relayHold:
-        return m_entry.onHoldEnd (m_turn, timer.m_subject);
+    case TimerKind::relayQueueTimeout:
+        return m_entry.onQueueTimeout (m_turn, timer.m_subject);
     case TimerKind::gateDeadline:
         return m_gate.onDeadline (m_turn, timer.m_subject);
-    case TimerKind::gateHold:
-        return m_gate.onHoldEnd (m_turn, timer.m_subject);
+    case TimerKind::gateQueueTimeout:
+        return m_gate.onQueueTimeout (m_turn, timer.m_subject);
     case TimerKind::relayWindow:
         return onWindowEnd();
     case TimerKind::admissionPeriod:
@@ -113,7 +113,7 @@
 void RelayDecisions::onHelloTimer()
 {
     m_store.onTick (m_turn, m_routes.isKnown());
-    m_keys.onTick (m_turn, m_store.watcher(), m_store.isWatching());
+    m_keys.onTick (m_turn, m_store.primaryFollower(), m_store.isPrimaryFollower());
     m_limits.onTick (m_turn);
     sendDueHellos();
 }
@@ -128,9 +128,9 @@
     m_gate.onWindowEnd (m_turn);
     m_peers.onGate (m_peers.self(), m_gate.status(), now);
     m_peers.onRouteTimes (m_peers.self(), m_gate.routeTimes());
-    m_calls.onPeerEdges (m_peers.self(), m_gate.callEdges());
+    m_calls.setPeerEdges (m_peers.self(), m_gate.callEdges());
 
-    for (const auto& instance : m_peers.takeSilent (now))
+    for (const auto& instance : m_peers.takeNewlyUnreachable (now))
     {
         m_turn.emit (
             LogDecision { Decision::peerLost, {}, { { "peer", instance }, { "reason", "silent" } } });
@@ -145,7 +145,7 @@
 
     m_limits.onWindowEnd (m_turn);
     m_crashes.onWindowEnd (m_turn, m_gate.target().id());
-    m_entry.retryHeld (m_turn);
+    m_entry.retryQueued (m_turn);
     m_turn.timers().set (now + windowPeriod, TimerKind::relayWindow);
 }
 
@@ -159,7 +159,7 @@
 void RelayDecisions::sendHello (const Peer& peer, bool asksForCalls)
 {
     const auto& member = peer.m_member;
-    m_peers.onAsked (member.m_id.m_instance, m_turn.now());
+    m_peers.onHelloSent (member.m_id.m_instance, m_turn.now());
     m_turn.emit (SendToPeer { member.m_id.m_instance, member.m_endpoint,
                               PeerHello { m_turn.settings().m_self, m_routes.version(), m_gate.status(),
                                           m_turn.now().time_since_epoch(), asksForCalls, m_store.view(),
@@ -200,8 +200,8 @@
 
 void RelayDecisions::onRoutesInForce()
 {
-    m_keys.onRoutes (m_turn, m_routes.table(), m_store.watcher());
-    m_store.setLongestRead (m_keys.longestRead());
+    m_keys.onRoutes (m_turn, m_routes.table(), m_store.primaryFollower());
+    m_store.setMaxReadWait (m_keys.maxReadWait());
     const auto& services = m_routes.table().services();
 
     if (services.size() <= maxEagerServices)
@@ -209,7 +209,7 @@
             requireService (service);
 
     auto reachable = m_peers.others();
-    std::erase_if (reachable, [] (const Peer* peer) { return ! peer->m_isHeard; });
+    std::erase_if (reachable, [] (const Peer* peer) { return ! peer->m_isReachable; });
 
     for (std::size_t sent = 0; sent < versionFanout && ! reachable.empty(); ++sent)
     {
@@ -307,7 +307,7 @@
 
 void RelayDecisions::onHeardFrom (const NodeId& from)
 {
-    if (m_peers.onHeard (from, m_turn.now()))
+    if (m_peers.onFrameReceived (from, m_turn.now()))
         m_turn.emit (LogDecision { Decision::peerRegained, {}, { { "peer", from.m_instance } } });
 }
 
@@ -317,7 +317,7 @@
     auto request = message;
 
     if (auto* peer = m_peers.find (from.m_instance))
-        request.m_timeLeft -= peer->m_clock.delayOf (message.m_sentAt, m_turn.now());
+        request.m_timeLeft -= peer->m_delayEstimator.queueingDelay (message.m_sentAt, m_turn.now());
 
     m_gate.receive (m_turn, { link, from.m_instance, message.m_callId }, std::move (request));
 }
@@ -352,7 +352,7 @@
     onHeardFrom (from);
 
     if (auto* peer = m_peers.find (from.m_instance))
-        (void)peer->m_clock.delayOf (message.m_sentAt, m_turn.now());
+        (void)peer->m_delayEstimator.queueingDelay (message.m_sentAt, m_turn.now());
 
     auto answer = status();
 
@@ -376,7 +376,7 @@
     if (message.m_calls.has_value())
     {
         m_peers.onCalls (from.m_instance, m_turn.now());
-        m_calls.onPeerEdges (from.m_instance, *message.m_calls);
+        m_calls.setPeerEdges (from.m_instance, *message.m_calls);
     }
 
     m_peers.onRouteTimes (from.m_instance, message.m_times);
@@ -403,7 +403,7 @@
 void RelayDecisions::onGate (const InstanceName& peer, const GateStatus& gate)
 {
     if (m_peers.onGate (peer, gate, m_turn.now()))
-        m_entry.retryHeld (m_turn);
+        m_entry.retryQueued (m_turn);
 }
 
 void RelayDecisions::onMessage (LinkId link, const NodeId& from, const RoutesPull& message)
@@ -423,7 +423,7 @@
 
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersTold& message)
 {
-    if (m_store.onTold (m_turn, message))
+    if (m_store.onMembersTold (m_turn, message))
         addMembers (message.m_members, message.m_withdrawn, from.m_instance);
 }
 
@@ -448,9 +448,9 @@
     m_limits.onAnswer (m_turn, from.m_instance, message);
 }
 
-void RelayDecisions::onMessage (LinkId, const NodeId& from, const CrashNews& message)
+void RelayDecisions::onMessage (LinkId, const NodeId& from, const CrashUpdate& message)
 {
-    m_crashes.onNews (m_turn, from.m_instance, message);
+    m_crashes.onUpdate (m_turn, from.m_instance, message);
 }
 
 void RelayDecisions::onMessage (LinkId link, const NodeId& from, const CrashPull& message)
--- a/modules/plankledge_policy/relay/RelayDecisions.h
+++ b/modules/plankledge_policy/relay/RelayDecisions.h
@@ -42,7 +42,7 @@
         return peer != nullptr && peer->m_member.m_zone != m_turn.settings().m_self.m_zone;
     }
 
-    const RouteFollower& routes() const noexcept { return m_routes; }
+    const RouteSync& routes() const noexcept { return m_routes; }
     const PeerTable& peers() const noexcept { return m_peers; }
     const TargetGate& gate() const noexcept { return m_gate; }
     const RelayEntry& entry() const noexcept { return m_entry; }
@@ -52,7 +52,7 @@
 
     //==============================================================================
     void handle (const RelayRequestReceived& event) { m_entry.receive (m_turn, event); }
-    void handle (const RequesterGone& event) { m_entry.onRequesterGone (m_turn, event.m_ticket); }
+    void handle (const CallerDisconnected& event) { m_entry.onCallerDisconnected (m_turn, event.m_ticket); }
     void handle (const TargetReply& event) { m_gate.onReply (m_turn, event); }
     void handle (const TargetAnnounced& event) { m_gate.onAnnounced (m_turn, event); }
     void handle (const LinkClosed& event);
@@ -84,7 +84,7 @@
     void onMessage (LinkId link, const NodeId& from, const ProofAnswer& message);
     void onMessage (LinkId link, const NodeId& from, const LimitQuestion& message);
     void onMessage (LinkId link, const NodeId& from, const LimitAnswer& message);
-    void onMessage (LinkId link, const NodeId& from, const CrashNews& message);
+    void onMessage (LinkId link, const NodeId& from, const CrashUpdate& message);
     void onMessage (LinkId link, const NodeId& from, const CrashPull& message);
 
 private:
@@ -109,7 +109,7 @@
 
     Turn& m_turn;
     const RelaySettings m_settings;
-    RouteFollower m_routes;
+    RouteSync m_routes;
     PeerTable m_peers;
     KeyGuard m_keys;
     OrganisationLimits m_limits;
--- a/modules/plankledge_policy/relay/RequestIds.h
+++ b/modules/plankledge_policy/relay/RequestIds.h
@@ -29,7 +29,7 @@
 inline constexpr std::uint64_t chainsPerLogSample = 64;
 
 /** @returns whether the request belongs to a sampled chain */
-inline bool isLogged (std::string_view id) noexcept
+inline bool isLogSampled (std::string_view id) noexcept
 {
     return hashText (rootOf (id)) % chainsPerLogSample == 0;
 }
--- a/modules/plankledge_policy/relay/access/AccessCheck.cpp
+++ b/modules/plankledge_policy/relay/access/AccessCheck.cpp
@@ -3,7 +3,7 @@
 namespace plankledge
 {
 
-Access judgeAccess (const Organisations& organisations, const AccessRequest& request) noexcept
+Access checkAccess (const Organisations& organisations, const AccessRequest& request) noexcept
 {
     const auto& credential = request.m_credential;
 
@@ -11,7 +11,7 @@
         return OpenAccess {};
 
     const auto* organisation =
-        credential.m_kind == CredentialKind::key ? organisations.ofKey (credential.m_key) : nullptr;
+        credential.m_kind == CredentialKind::key ? organisations.findByKey (credential.m_key) : nullptr;
 
     if (request.m_route.m_isPublic)
     {
@@ -22,16 +22,16 @@
     }
 
     if (credential.m_kind == CredentialKind::none)
-        return AccessRefused { Reason::keyMissing };
+        return AccessDenied { Reason::keyMissing };
 
     if (credential.m_kind == CredentialKind::malformed)
-        return AccessRefused { Reason::keyMalformed };
+        return AccessDenied { Reason::keyMalformed };
 
     if (! request.m_isProven)
-        return AccessRefused { Reason::keyUnproven };
+        return AccessDenied { Reason::keyUnproven };
 
     if (organisation == nullptr)
-        return AccessRefused { Reason::keyUnknown };
+        return AccessDenied { Reason::keyUnknown };
 
     return OrganisationAccess { organisation };
 }
--- a/modules/plankledge_policy/relay/access/AccessCheck.h
+++ b/modules/plankledge_policy/relay/access/AccessCheck.h
@@ -23,14 +23,14 @@
 };
 
 /** The request is denied; the reason is keyMissing, keyMalformed, keyUnknown or keyUnproven. */
-struct AccessRefused
+struct AccessDenied
 {
     Reason m_reason = Reason::keyMissing;
 
-    auto operator<=> (const AccessRefused&) const = default;
+    auto operator<=> (const AccessDenied&) const = default;
 };
 
-using Access = std::variant<OpenAccess, OrganisationAccess, AccessRefused>;
+using Access = std::variant<OpenAccess, OrganisationAccess, AccessDenied>;
 
 //==============================================================================
 /** The properties of a request on which the access decision is based. */
@@ -50,6 +50,6 @@
     a revoked key, or permanently reject a new one. Without declared organisations, every request
     is admitted.
 */
-Access judgeAccess (const Organisations& organisations, const AccessRequest& request) noexcept;
+Access checkAccess (const Organisations& organisations, const AccessRequest& request) noexcept;
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -120,7 +120,7 @@
 
     for (const auto* peer : m_peers.others())
     {
-        if (! peer->m_isHeard)
+        if (! peer->m_isReachable)
             continue;
 
         reachable.push_back (peer);
@@ -173,11 +173,11 @@
 //==============================================================================
 bool KeyGuard::isProven (Time now) const noexcept
 {
-    const auto left = holdsFor (now);
+    const auto left = remainingValidity (now);
     return ! left.has_value() || *left > Duration::zero();
 }
 
-std::optional<Duration> KeyGuard::holdsFor (Time now) const noexcept
+std::optional<Duration> KeyGuard::remainingValidity (Time now) const noexcept
 {
     if (! isProofRequired())
         return std::nullopt;
@@ -192,7 +192,7 @@
     return provenAt.has_value() ? std::optional<Duration> (now - *provenAt) : std::nullopt;
 }
 
-Duration KeyGuard::longestRead() const noexcept
+Duration KeyGuard::maxReadWait() const noexcept
 {
     return isProofRequired() ? m_bound / readDivisor : Duration::zero();
 }
--- a/modules/plankledge_policy/relay/access/KeyGuard.h
+++ b/modules/plankledge_policy/relay/access/KeyGuard.h
@@ -62,14 +62,14 @@
     bool isProven (Time now) const noexcept;
 
     /** @returns how long a key that is accepted now remains valid, or nullopt if this is unbounded */
-    std::optional<Duration> holdsFor (Time now) const noexcept;
+    std::optional<Duration> remainingValidity (Time now) const noexcept;
 
     /** @returns the age of the proof, or nullopt if there is none */
     std::optional<Duration> age (Time now) const noexcept;
 
     /** @returns the longest time for which the primary follower's read of the routes may block, or zero if no
         proof is required */
-    Duration longestRead() const noexcept;
+    Duration maxReadWait() const noexcept;
 
 private:
     //==============================================================================
--- a/modules/plankledge_policy/relay/access/Organisations.cpp
+++ b/modules/plankledge_policy/relay/access/Organisations.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-const Organisation* Organisations::ofKey (std::string_view key) const noexcept
+const Organisation* Organisations::findByKey (std::string_view key) const noexcept
 {
     return lookUp (m_declared, m_byKey, key);
 }
--- a/modules/plankledge_policy/relay/access/Organisations.h
+++ b/modules/plankledge_policy/relay/access/Organisations.h
@@ -49,7 +49,7 @@
     bool areDeclared() const noexcept { return m_areDeclared; }
 
     /** @returns the organisation to which the key belongs, or nullptr */
-    const Organisation* ofKey (std::string_view key) const noexcept;
+    const Organisation* findByKey (std::string_view key) const noexcept;
 
     /** @returns the organisation with the given name, or nullptr */
     const Organisation* find (std::string_view name) const noexcept;
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -36,7 +36,7 @@
         return;
 
     ++turn.counters().m_acquittals;
-    m_pendingNews.m_acquittals.push_back (acquittal);
+    m_pendingUpdate.m_acquittals.push_back (acquittal);
 }
 
 const Peer* CrashGuard::trialNode (const ServiceName& service, ContentDigest content) const
@@ -48,7 +48,7 @@
     // the chosen one crashes.
     for (const auto* peer : m_peers.ofService (service))
     {
-        if (! peer->m_isHeard)
+        if (! peer->m_isReachable)
             continue;
 
         const auto weight = rendezvousWeight (content, peer->m_member.m_id.m_instance);
@@ -90,18 +90,18 @@
                              std::move (finding.m_suspects) };
 
         if (m_ledger.learn (report, now))
-            m_pendingNews.m_crashes.push_back (std::move (report));
+            m_pendingUpdate.m_crashes.push_back (std::move (report));
     }
 
     logHeld (turn);
 
-    if (! m_pendingNews.isEmpty())
-        broadcast (turn, m_self.m_instance, std::exchange (m_pendingNews, {}));
+    if (! m_pendingUpdate.isEmpty())
+        broadcast (turn, m_self.m_instance, std::exchange (m_pendingUpdate, {}));
 }
 
-void CrashGuard::onNews (Turn& turn, const InstanceName& from, const CrashNews& update)
+void CrashGuard::onUpdate (Turn& turn, const InstanceName& from, const CrashUpdate& update)
 {
-    CrashNews unseen;
+    CrashUpdate unseen;
 
     // Acquittals first: they may also clear crashes reported in the same message.
     for (const auto& acquittal : update.m_acquittals)
@@ -118,10 +118,10 @@
         broadcast (turn, from, unseen);
 }
 
-void CrashGuard::broadcast (Turn& turn, const InstanceName& from, const CrashNews& update) const
+void CrashGuard::broadcast (Turn& turn, const InstanceName& from, const CrashUpdate& update) const
 {
     for (const auto* peer : m_peers.others())
-        if (peer->m_isHeard && peer->m_member.m_id.m_instance != from)
+        if (peer->m_isReachable && peer->m_member.m_id.m_instance != from)
             turn.emit (SendToPeer { peer->m_member.m_id.m_instance, peer->m_member.m_endpoint, update });
 }
 
@@ -133,7 +133,8 @@
             {},
             { { "content", detail::digest (content) },
               { "crashes", detail::number (crashes) },
-              { "for_ms", detail::milliseconds (m_ledger.judge (content, turn.now()).m_heldFor) } } });
+              { "for_ms",
+                detail::milliseconds (m_ledger.holdStatus (content, turn.now()).m_holdRemaining) } } });
 }
 
 //==============================================================================
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -40,7 +40,10 @@
     void onAnswered (Turn& turn, ContentDigest content);
 
     /** @returns whether the request may be sent to a target */
-    HoldStatus judge (ContentDigest content, Time now) const { return m_ledger.judge (content, now); }
+    HoldStatus holdStatus (ContentDigest content, Time now) const
+    {
+        return m_ledger.holdStatus (content, now);
+    }
 
     /** @returns the only node whose target may run a request that is on trial, whether its gate is open or
         not; nullptr if no node of the service is reachable */
@@ -50,7 +53,7 @@
     /** Sends new findings to the peers. Called every 100 ms. */
     void onWindowEnd (Turn& turn, const TargetId& target);
 
-    void onNews (Turn& turn, const InstanceName& from, const CrashNews& update);
+    void onUpdate (Turn& turn, const InstanceName& from, const CrashUpdate& update);
     void onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const;
 
     /** Compares a peer's ledger digest with this node's, and requests the peer's ledger if they keep
@@ -62,7 +65,7 @@
 
 private:
     //==============================================================================
-    void broadcast (Turn& turn, const InstanceName& from, const CrashNews& update) const;
+    void broadcast (Turn& turn, const InstanceName& from, const CrashUpdate& update) const;
     void logHeld (Turn& turn);
 
     const NodeId m_self;
@@ -70,7 +73,7 @@
     CrashWatch m_watch;
     CrashLedger m_ledger;
     Time m_lastExpiryAt;
-    CrashNews m_pendingNews;                      /**< found by this node and not yet sent */
+    CrashUpdate m_pendingUpdate;                  /**< found by this node and not yet sent */
     std::map<InstanceName, Time> m_mismatchSince; /**< by peer; only peers whose digest differs */
 };
 
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
@@ -143,7 +143,7 @@
 }
 
 //==============================================================================
-HoldStatus CrashLedger::judge (ContentDigest content, Time now) const
+HoldStatus CrashLedger::holdStatus (ContentDigest content, Time now) const
 {
     const auto found = m_suspects.find (content);
 
@@ -153,9 +153,9 @@
     const auto until = newestCrashTime (found->second) + holdDuration (found->second.size());
 
     if (now < until)
-        return { Standing::held, until - now };
+        return { HoldState::held, until - now };
 
-    return { Standing::onTrial, {} };
+    return { HoldState::onTrial, {} };
 }
 
 Time CrashLedger::newestCrashTime (const CrashIds& crashIds) const
@@ -225,9 +225,9 @@
     }
 }
 
-CrashNews CrashLedger::snapshot (Time now) const
+CrashUpdate CrashLedger::snapshot (Time now) const
 {
-    CrashNews update;
+    CrashUpdate update;
 
     for (const auto& [id, crash] : m_crashes)
         update.m_crashes.push_back ({ id,
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.h
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.h
@@ -11,7 +11,7 @@
 {
 
 /** Whether a request may be sent to a target, given the crashes it is suspected of. */
-enum class Standing : std::uint8_t
+enum class HoldState : std::uint8_t
 {
     clear,
     held,   /**< too many targets crashed while running it */
@@ -21,8 +21,8 @@
 /** Whether a request is held, and for how long. */
 struct HoldStatus
 {
-    Standing m_standing = Standing::clear;
-    Duration m_heldFor {}; /**< remaining time of the hold */
+    HoldState m_holdState = HoldState::clear;
+    Duration m_holdRemaining {}; /**< remaining time of the hold */
 
     auto operator<=> (const HoldStatus&) const = default;
 };
@@ -76,7 +76,7 @@
     /** @returns whether a target crashed while running the request and none has completed it since */
     bool isSuspect (ContentDigest content) const { return m_suspects.contains (content); }
 
-    HoldStatus judge (ContentDigest content, Time now) const;
+    HoldStatus holdStatus (ContentDigest content, Time now) const;
 
     /** @returns contents that have become held since the last call, each with its number of crashes */
     std::vector<std::pair<ContentDigest, std::size_t>> takeNewlyHeld();
@@ -85,7 +85,7 @@
     void removeExpired (Time now);
 
     /** @returns the complete ledger, as a message to another node */
-    CrashNews snapshot (Time now) const;
+    CrashUpdate snapshot (Time now) const;
 
     /** @returns a digest that is equal for equal ledgers; 0 if the ledger is empty */
     std::uint64_t digest() const noexcept { return m_digest; }
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashWatch.cpp
@@ -25,7 +25,7 @@
     return m_completedContents[content % completedTableSize] == content;
 }
 
-void CrashWatch::onBroken (ContentDigest content, Time now)
+void CrashWatch::onConnectionBroken (ContentDigest content, Time now)
 {
     if (m_isLeaving)
         return;
@@ -57,7 +57,7 @@
     return m_suspectedCrash.has_value() && ! m_suspectedCrash->m_isConfirmed;
 }
 
-void CrashWatch::onRefusedConnection() noexcept
+void CrashWatch::onConnectionRefused() noexcept
 {
     if (m_suspectedCrash.has_value())
         m_suspectedCrash->m_isConfirmed = true;
@@ -69,10 +69,10 @@
         withdraw();
 }
 
-void CrashWatch::onNewLife (const std::vector<ContentDigest>& running, Time now)
+void CrashWatch::onNewIncarnation (const std::vector<ContentDigest>& running, Time now)
 {
     for (const auto content : running)
-        onBroken (content, now);
+        onConnectionBroken (content, now);
 
     if (m_suspectedCrash.has_value() && ! m_isLeaving)
         report();
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.h
+++ b/modules/plankledge_policy/relay/crashes/CrashWatch.h
@@ -56,19 +56,19 @@
 
     //==============================================================================
     /** The connection of a running request broke before its answer was complete. */
-    void onBroken (ContentDigest content, Time now);
+    void onConnectionBroken (ContentDigest content, Time now);
 
     /** The target answered a request completely. */
     void onAnswered (ContentDigest content, Time now);
 
     /** The target refused a connection. */
-    void onRefusedConnection() noexcept;
+    void onConnectionRefused() noexcept;
 
     /** A new incarnation of the target has started.
 
         @param running   requests that were still running in the previous incarnation
     */
-    void onNewLife (const std::vector<ContentDigest>& running, Time now);
+    void onNewIncarnation (const std::vector<ContentDigest>& running, Time now);
 
     /** The known incarnation of the target announced itself. */
     void onAnnounced (Time now);
--- a/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
@@ -35,7 +35,7 @@
     double sum = 0.0;
     double reportingPeers = 0.0;
 
-    for (const auto* peer : peers.takingWork (service))
+    for (const auto* peer : peers.acceptingRequests (service))
     {
         const auto time = static_cast<double> (peer->timeOf (route).count());
         sum += time;
@@ -62,7 +62,7 @@
     const auto cohortRank = isRetry ? (1.0 + cohort) / 2.0 : cohort / 2.0;
     const auto rankInPriority =
         1.0 - std::pow (1.0 - cohortRank, relativeCost (route, service, bottleneck, callees, peers));
-    const auto shedRank = routes.placeOfPriority (priority) + rankInPriority * routes.widthOfPriority();
+    const auto shedRank = routes.shedRankOfPriority (priority) + rankInPriority * routes.shedRankWidth();
 
     if (shedRank >= bottleneck.m_level)
         return { Refusal { bottleneck.m_service, shedRank, bottleneck.m_level }, priority };
@@ -115,7 +115,7 @@
     double levels = 0.0;
     double limits = 0.0;
 
-    for (const auto* peer : peers.takingWork (service))
+    for (const auto* peer : peers.acceptingRequests (service))
     {
         levels += static_cast<double> (peer->m_gate.m_admittedPermille) / 1000.0 * peer->m_gate.m_limit;
         limits += peer->m_gate.m_limit;
--- a/modules/plankledge_policy/relay/entry/EntryRequest.h
+++ b/modules/plankledge_policy/relay/entry/EntryRequest.h
@@ -18,24 +18,26 @@
     ServiceName m_service;
     OrganisationName m_organisation;        /**< the owner of its API key; empty if it needs no key */
     ContentDigest m_digest = 0;             /**< of its content */
-    std::optional<Time> m_keyHoldsUntil {}; /**< it is not sent to a target later; nullopt: no bound */
+    std::optional<Time> m_keyValidUntil {}; /**< it is not sent to a target later; nullopt: no bound */
     bool m_isLimitChecked = true; /**< false while the check of its organisation's limit is pending */
     bool m_isNested = false;
-    std::uint32_t m_callsDone = 0; /**< successful earlier calls of its parent request */
-    std::uint16_t m_urgency = 0;   /**< effective priority; nested calls inherit it from their parent */
+    std::uint32_t m_completedCalls = 0; /**< successful earlier calls of its parent request */
+    std::uint16_t m_effectivePriority =
+        0; /**< effective priority; nested calls inherit it from their parent */
     Time m_receivedAt;
     Time m_chainStartedAt; /**< when the root request of its call chain arrived */
     Time m_deadline;
-    Time m_holdEnd;               /**< end of the time that it may wait for a slot, here and at gates */
-    Duration m_longestToBegin {}; /**< maximum queueing time at a target where nothing of its chain has run */
-    std::set<InstanceName> m_tried;    /**< excluded from target selection */
-    std::uint32_t m_attempts = 0;      /**< attempts that may have reached a target */
-    std::set<InstanceName> m_reached;  /**< instances whose targets these attempts may have reached */
-    bool m_hasRetriedAncestor = false; /**< its parent request, or one further up, was itself a retry */
-    bool m_mayHaveRun = false;         /**< an attempt ended without confirmation that it did not run */
-    InstanceName m_instance;           /**< that holds the current attempt; empty if there is none */
-    CallId m_call = 0;                 /**< of the current attempt; 0 if there is none */
-    bool m_isQueued = false;           /**< waits for a target at the entry node */
+    Time m_queueDeadline; /**< end of the time that it may wait for a slot, here and at gates */
+    Duration m_maxQueueTimeOfNewChain {}; /**< maximum queueing time at a target where nothing of its chain
+                                             has run */
+    std::set<InstanceName> m_tried;       /**< excluded from target selection */
+    std::uint32_t m_attempts = 0;         /**< attempts that may have reached a target */
+    std::set<InstanceName> m_reached;     /**< instances whose targets these attempts may have reached */
+    bool m_hasRetriedAncestor = false;    /**< its parent request, or one further up, was itself a retry */
+    bool m_mayHaveRun = false;            /**< an attempt ended without confirmation that it did not run */
+    InstanceName m_instance;              /**< that holds the current attempt; empty if there is none */
+    CallId m_call = 0;                    /**< of the current attempt; 0 if there is none */
+    bool m_isQueued = false;              /**< waits for a target at the entry node */
     Reason m_lastReason = Reason::noReachableInstance;
 };
 
--- a/modules/plankledge_policy/relay/entry/RelayEntry.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.cpp
@@ -63,10 +63,10 @@
         return refuse (turn, received, Reason::noRoute);
 
     const auto access =
-        judgeAccess (m_dependencies.m_routes.table().organisations(),
+        checkAccess (m_dependencies.m_routes.table().organisations(),
                      { *route, received.m_credential, m_dependencies.m_keys.isProven (turn.now()) });
 
-    if (const auto* refused = std::get_if<AccessRefused> (&access))
+    if (const auto* refused = std::get_if<AccessDenied> (&access))
         return refuse (turn, received, refused->m_reason);
 
     const auto* organisation = std::get_if<OrganisationAccess> (&access);
@@ -97,7 +97,7 @@
     request.m_route = route;
     request.m_route.m_priority = routes.priorityOf (route, organisation);
     request.m_service = m_serviceSelector.next (route);
-    request.m_urgency = static_cast<std::uint16_t> (request.m_route.m_priority);
+    request.m_effectivePriority = static_cast<std::uint16_t> (request.m_route.m_priority);
     request.m_receivedAt = turn.now();
     request.m_chainStartedAt = turn.now();
 
@@ -105,8 +105,8 @@
     {
         request.m_organisation = organisation->m_name;
 
-        if (const auto holds = m_dependencies.m_keys.holdsFor (turn.now()); holds.has_value())
-            request.m_keyHoldsUntil = turn.now() + *holds;
+        if (const auto holds = m_dependencies.m_keys.remainingValidity (turn.now()); holds.has_value())
+            request.m_keyValidUntil = turn.now() + *holds;
     }
 
     request.m_digest = digestOf (request.m_organisation, received.m_host, received.m_content);
@@ -123,11 +123,11 @@
     request.m_deadline =
         turn.now() + std::min (received.m_timeout.value_or (defaultTimeout), route.m_timeout);
 
-    request.m_longestToBegin = Duration (static_cast<Duration::rep> (
+    request.m_maxQueueTimeOfNewChain = Duration (static_cast<Duration::rep> (
         static_cast<double> (route.m_latencyObjective.count()) * maxQueueTimeShare));
-    request.m_holdEnd = request.m_isNested
-                            ? request.m_deadline - nestedQueueMargin
-                            : std::min (request.m_deadline, turn.now() + request.m_longestToBegin);
+    request.m_queueDeadline =
+        request.m_isNested ? request.m_deadline - nestedQueueMargin
+                           : std::min (request.m_deadline, turn.now() + request.m_maxQueueTimeOfNewChain);
     return request;
 }
 
@@ -136,10 +136,10 @@
 {
     const auto& parent = running.m_request;
     request.m_isNested = true;
-    request.m_urgency = parent.m_urgency;
-    request.m_hasRetriedAncestor = parent.m_isRepeat;
+    request.m_effectivePriority = parent.m_effectivePriority;
+    request.m_hasRetriedAncestor = parent.m_isRetry;
     request.m_chainStartedAt = running.m_chainStartedAt;
-    request.m_callsDone = running.m_callsDone;
+    request.m_completedCalls = running.m_completedCalls;
     m_dependencies.m_gate.onNestedCall (parent.m_route, request.m_route.m_name, request.m_service);
 }
 
@@ -152,10 +152,10 @@
     request.m_isLimitChecked = false;
 
     if (judgement.has_value())
-        onJudged (turn, id, *judgement);
+        onLimitDecided (turn, id, *judgement);
 }
 
-void RelayEntry::onJudged (Turn& turn, CallId id, const OrganisationLimits::Judgement& judgement)
+void RelayEntry::onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& judgement)
 {
     const auto found = m_requests.find (id);
 
@@ -195,7 +195,7 @@
         m_admission.decide (request.m_route, request.m_service, timeout, m_dependencies.m_routes.table(),
                             m_dependencies.m_peers, m_dependencies.m_calls, turn.random());
 
-    request.m_urgency = static_cast<std::uint16_t> (decision.m_priority);
+    request.m_effectivePriority = static_cast<std::uint16_t> (decision.m_priority);
 
     if (! decision.m_refusal.has_value())
         return true;
@@ -211,8 +211,8 @@
     ++turn.counters().m_outcomes[static_cast<std::size_t> (Outcome::notRun)];
     RelayResult result { Outcome::notRun, reason, {}, {} };
 
-    if (canPassLater (reason))
-        result.m_comeBack = suggestRetryAfter (turn, received.m_timeout.value_or (defaultTimeout));
+    if (isTransient (reason))
+        result.m_retryAfter = suggestRetryAfter (turn, received.m_timeout.value_or (defaultTimeout));
 
     if (reason != Reason::overloadedDownstream)
         turn.emit (detail::logRefusal (received, reason, m_dependencies.m_routes.version()));
@@ -224,13 +224,13 @@
 void RelayEntry::send (Turn& turn, CallId id)
 {
     const auto& request = m_requests.at (id);
-    const auto crashes = m_dependencies.m_crashes.judge (request.m_digest, turn.now());
+    const auto crashes = m_dependencies.m_crashes.holdStatus (request.m_digest, turn.now());
 
     // Too many targets have crashed while they ran the same request, which fails all requests running there.
-    if (crashes.m_standing == Standing::held)
-        return giveUp (turn, id, Reason::crashesTargets, crashes.m_heldFor);
+    if (crashes.m_holdState == HoldState::held)
+        return giveUp (turn, id, Reason::crashesTargets, crashes.m_holdRemaining);
 
-    const auto* peer = selectPeer (turn, request, crashes.m_standing);
+    const auto* peer = selectPeer (turn, request, crashes.m_holdState);
 
     if (peer == nullptr)
         return enqueue (turn, id);
@@ -238,9 +238,9 @@
     sendTo (turn, id, *peer);
 }
 
-const Peer* RelayEntry::selectPeer (Turn& turn, const Request& request, Standing standing) const
+const Peer* RelayEntry::selectPeer (Turn& turn, const Request& request, HoldState standing) const
 {
-    if (standing == Standing::onTrial)
+    if (standing == HoldState::onTrial)
     {
         const auto* peer = m_dependencies.m_crashes.trialNode (request.m_service, request.m_digest);
         const bool isEligible = peer != nullptr && peer->m_gate.m_isOpen &&
@@ -250,7 +250,8 @@
 
     const TargetCriteria criteria { m_self.m_zone, request.m_route.m_name, request.m_route.m_latencyObjective,
                                     request.m_tried };
-    return selectTarget (m_dependencies.m_peers.takingWork (request.m_service), criteria, turn.random());
+    return selectTarget (m_dependencies.m_peers.acceptingRequests (request.m_service), criteria,
+                         turn.random());
 }
 
 void RelayEntry::sendTo (Turn& turn, CallId id, const Peer& peer)
@@ -259,7 +260,7 @@
     const auto& instance = peer.m_member.m_id.m_instance;
     const auto now = turn.now();
 
-    if (request.m_keyHoldsUntil.has_value() && now >= *request.m_keyHoldsUntil)
+    if (request.m_keyValidUntil.has_value() && now >= *request.m_keyValidUntil)
         return giveUp (turn, id, Reason::keyUnproven);
 
     request.m_instance = instance;
@@ -278,19 +279,19 @@
     message.m_organisation = request.m_organisation;
     message.m_digest = request.m_digest;
 
-    if (request.m_keyHoldsUntil.has_value())
-        message.m_keyHoldsFor = *request.m_keyHoldsUntil - now;
+    if (request.m_keyValidUntil.has_value())
+        message.m_keyValidFor = *request.m_keyValidUntil - now;
 
-    message.m_urgency = request.m_urgency;
-    message.m_isRepeat = request.m_hasRetriedAncestor || request.m_attempts > 0;
+    message.m_effectivePriority = request.m_effectivePriority;
+    message.m_isRetry = request.m_hasRetriedAncestor || request.m_attempts > 0;
     message.m_isNested = request.m_isNested;
     message.m_chainAge = now - request.m_chainStartedAt;
     message.m_timeLeft = request.m_deadline - now;
-    message.m_longestQueueing = std::max (Duration::zero(), Duration (request.m_holdEnd - now));
-    message.m_longestToBegin = std::min (message.m_longestQueueing, request.m_longestToBegin);
+    message.m_maxQueueTime = std::max (Duration::zero(), Duration (request.m_queueDeadline - now));
+    message.m_maxQueueTimeOfNewChain = std::min (message.m_maxQueueTime, request.m_maxQueueTimeOfNewChain);
     message.m_sentAt = now.time_since_epoch();
 
-    if (isLogged (request.m_content.m_id))
+    if (isLogSampled (request.m_content.m_id))
         turn.emit (detail::logSent (request, peer, m_dependencies.m_routes.version(), now));
 
     const GateCaller self { 0, instance, message.m_callId };
@@ -306,15 +307,15 @@
 {
     auto& request = m_requests.at (id);
 
-    if (turn.now() >= request.m_holdEnd)
+    if (turn.now() >= request.m_queueDeadline)
         return giveUp (turn, id, request.m_lastReason);
 
     request.m_isQueued = true;
     m_queuedRequests.insert (id);
-    turn.timers().set (request.m_holdEnd, TimerKind::relayHold, id);
+    turn.timers().set (request.m_queueDeadline, TimerKind::relayQueueTimeout, id);
 }
 
-void RelayEntry::retryHeld (Turn& turn)
+void RelayEntry::retryQueued (Turn& turn)
 {
     const auto queuedRequests = m_queuedRequests;
 
@@ -331,7 +332,7 @@
     }
 }
 
-void RelayEntry::onHoldEnd (Turn& turn, CallId id)
+void RelayEntry::onQueueTimeout (Turn& turn, CallId id)
 {
     const auto found = m_requests.find (id);
 
@@ -485,8 +486,8 @@
 
         // A request on trial is not retried: if its target crashed, the request stays blocked, but the crash
         // may not have been reported here yet.
-        const bool isClear =
-            m_dependencies.m_crashes.judge (request.m_digest, turn.now()).m_standing == Standing::clear;
+        const bool isClear = m_dependencies.m_crashes.holdStatus (request.m_digest, turn.now()).m_holdState ==
+                             HoldState::clear;
 
         if (! isClear || ! m_retries.mayRetryAttempt (turn, request, result))
             return giveUp (turn, id, result.m_reason);
@@ -513,7 +514,7 @@
 }
 
 //==============================================================================
-void RelayEntry::onRequesterGone (Turn& turn, Ticket ticket)
+void RelayEntry::onCallerDisconnected (Turn& turn, Ticket ticket)
 {
     const auto found = m_requestsByTicket.find (ticket);
 
@@ -524,7 +525,7 @@
     auto& request = m_requests.at (id);
     cancelAttempt (turn, request);
 
-    if (isLogged (request.m_content.m_id))
+    if (isLogSampled (request.m_content.m_id))
         turn.emit (detail::logCancelled (request, turn.now()));
 
     ++turn.counters().m_refusals[Reason::cancelled];
@@ -551,7 +552,7 @@
     RelayResult result { request.m_mayHaveRun ? Outcome::unknown : Outcome::notRun, reason, {}, {} };
 
     if (! request.m_mayHaveRun)
-        result.m_comeBack =
+        result.m_retryAfter =
             retryAfter > Duration::zero() ? retryAfter : suggestRetryAfter (turn, request.m_deadline - now);
 
     ++turn.counters().m_systemAnswers[reason];
@@ -570,12 +571,12 @@
 
     if (request.m_isNested && result.m_outcome == Outcome::completed &&
         result.m_answer.m_status < serverError)
-        m_dependencies.m_gate.onCallDone (parentOf (request.m_content.m_id));
+        m_dependencies.m_gate.onCallCompleted (parentOf (request.m_content.m_id));
 
     ++turn.counters().m_outcomes[static_cast<std::size_t> (result.m_outcome)];
 
     if (result.m_outcome == Outcome::completed &&
-        (isLogged (request.m_content.m_id) || result.m_answer.m_status >= serverError))
+        (isLogSampled (request.m_content.m_id) || result.m_answer.m_status >= serverError))
         turn.emit (detail::logAnswered (request, result.m_answer.m_status, turn.now()));
 
     turn.emit (AnswerRelay { request.m_ticket, std::move (result), isStopping() });
--- a/modules/plankledge_policy/relay/entry/RelayEntry.h
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.h
@@ -9,7 +9,7 @@
 #include "plankledge_policy/relay/entry/WeightedServiceSelector.h"
 #include "plankledge_policy/relay/gate/TargetGate.h"
 #include "plankledge_policy/relay/limits/OrganisationLimits.h"
-#include "plankledge_policy/relay/routes/RouteFollower.h"
+#include "plankledge_policy/relay/routes/RouteSync.h"
 
 #include <functional>
 #include <map>
@@ -39,7 +39,7 @@
     /** Other parts of the node; all must outlive the RelayEntry. */
     struct Dependencies
     {
-        const RouteFollower& m_routes;
+        const RouteSync& m_routes;
         PeerTable& m_peers;
         CallGraph& m_calls;
         TargetGate& m_gate;
@@ -55,7 +55,7 @@
 
     //==============================================================================
     void receive (Turn& turn, const RelayRequestReceived& received);
-    void onRequesterGone (Turn& turn, Ticket ticket);
+    void onCallerDisconnected (Turn& turn, Ticket ticket);
 
     /** @param from   the instance that answered, this one included */
     void onAnswer (Turn& turn, const InstanceName& from, const RelayAnswer& answer);
@@ -70,13 +70,13 @@
     void onPeerLost (Turn& turn, const InstanceName& instance);
 
     void onDeadline (Turn& turn, CallId id);
-    void onHoldEnd (Turn& turn, CallId id);
+    void onQueueTimeout (Turn& turn, CallId id);
 
     /** Tries to send the queued requests. */
-    void retryHeld (Turn& turn);
+    void retryQueued (Turn& turn);
 
     /** The check of a request against its organisation's limit has finished. */
-    void onJudged (Turn& turn, CallId id, const OrganisationLimits::Judgement& judgement);
+    void onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& judgement);
 
     void onPause (Time now) noexcept;
 
@@ -101,7 +101,7 @@
 
     std::vector<CallId> requestsAt (const InstanceName& instance) const;
     void send (Turn& turn, CallId id);
-    const Peer* selectPeer (Turn& turn, const Request& request, Standing standing) const;
+    const Peer* selectPeer (Turn& turn, const Request& request, HoldState standing) const;
     void sendTo (Turn& turn, CallId id, const Peer& peer);
     void enqueue (Turn& turn, CallId id);
     void clearAttempt (Request& request);
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
@@ -45,9 +45,9 @@
         return deny (RetryDenied::notRepeatable);
 
     const bool didNotRun = result.m_reason == Reason::targetShed && ! request.m_mayHaveRun;
-    const auto maxAttempts = didNotRun ? maxAttemptsIfRejected : request.m_route.m_mostAttempts;
+    const auto maxAttempts = didNotRun ? maxAttemptsIfRejected : request.m_route.m_maxAttempts;
 
-    if (request.m_attempts >= maxAttempts || request.m_reached.size() > request.m_route.m_mostAttempts)
+    if (request.m_attempts >= maxAttempts || request.m_reached.size() > request.m_route.m_maxAttempts)
         return deny (RetryDenied::budgetSpent);
 
     if (request.m_deadline - turn.now() < minTimeForRetry)
@@ -60,7 +60,7 @@
 
 void RetryPolicy::limitTargets (detail::EntryRequest& request) const
 {
-    if (request.m_reached.size() < request.m_route.m_mostAttempts)
+    if (request.m_reached.size() < request.m_route.m_maxAttempts)
         return;
 
     request.m_tried.clear();
@@ -79,10 +79,10 @@
     constexpr std::uint64_t cohorts = 1000;
     const auto& routes = m_dependencies.m_routes.table();
     const auto cohort = static_cast<double> (hashText (rootOf (request.m_content.m_id)) % cohorts) / cohorts;
-    const auto callsDone = static_cast<double> (request.m_callsDone);
+    const auto callsDone = static_cast<double> (request.m_completedCalls);
     const auto lowest = 1.0 / (callsDone + 2.0);
     const auto rankInPriority = lowest + cohort * (1.0 / (callsDone + 1.0) - lowest);
-    return routes.placeOfPriority (request.m_urgency) + rankInPriority * routes.widthOfPriority();
+    return routes.shedRankOfPriority (request.m_effectivePriority) + rankInPriority * routes.shedRankWidth();
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.h
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.h
@@ -5,7 +5,7 @@
 #include "plankledge_policy/relay/entry/RelayRetryThrottle.h"
 #include "plankledge_policy/relay/peers/PeerTable.h"
 #include "plankledge_policy/relay/routes/CallGraph.h"
-#include "plankledge_policy/relay/routes/RouteFollower.h"
+#include "plankledge_policy/relay/routes/RouteSync.h"
 
 namespace plankledge
 {
@@ -28,7 +28,7 @@
     /** Other parts of the node; all must outlive the RetryPolicy. */
     struct Dependencies
     {
-        const RouteFollower& m_routes;
+        const RouteSync& m_routes;
         const PeerTable& m_peers;
         CallGraph& m_calls;
     };
--- a/modules/plankledge_policy/relay/gate/GateCall.h
+++ b/modules/plankledge_policy/relay/gate/GateCall.h
@@ -30,17 +30,17 @@
     Time m_chainStartedAt;
     Time m_deadline;
     Time m_dispatchedAt;
-    std::optional<Time> m_keyHoldsUntil {}; /**< latest dispatch; nullopt if unbounded */
-    Time m_holdEnd;                         /**< refused if not dispatched by then */
+    std::optional<Time> m_keyValidUntil {}; /**< latest dispatch; nullopt if unbounded */
+    Time m_queueDeadline;                   /**< refused if not dispatched by then */
     Duration m_slotTime {};                 /**< expected time in a slot */
     bool m_isChainActive = false;           /**< a request of its chain was dispatched before */
     bool m_isDispatched = false;
-    std::uint32_t m_callsDone = 0; /**< nested calls that succeeded */
+    std::uint32_t m_completedCalls = 0; /**< nested calls that succeeded */
 
     /** @returns whether the entry's confirmation that the request's key is valid has not expired */
     bool isKeyValidAt (Time now) const noexcept
     {
-        return ! m_keyHoldsUntil.has_value() || now < *m_keyHoldsUntil;
+        return ! m_keyValidUntil.has_value() || now < *m_keyValidUntil;
     }
 };
 
--- a/modules/plankledge_policy/relay/gate/GateLog.cpp
+++ b/modules/plankledge_policy/relay/gate/GateLog.cpp
@@ -49,7 +49,7 @@
                { "in_gate_ms", milliseconds (now - call.m_receivedAt) } } };
 }
 
-LogDecision logAnnounced (const OwnTarget& target)
+LogDecision logAnnounced (const LocalTarget& target)
 {
     return { Decision::targetAnnounced,
              {},
--- a/modules/plankledge_policy/relay/gate/GateLog.h
+++ b/modules/plankledge_policy/relay/gate/GateLog.h
@@ -2,7 +2,7 @@
 
 #include "plankledge_policy/Effects.h"
 #include "plankledge_policy/relay/gate/GateCall.h"
-#include "plankledge_policy/relay/gate/OwnTarget.h"
+#include "plankledge_policy/relay/gate/LocalTarget.h"
 
 /** Log records of a gate: each decision with its inputs. */
 namespace plankledge::detail
@@ -45,7 +45,7 @@
 
 /** The gate ended the request without an answer from the target. */
 LogDecision logEnded (const GateCall& call, Reason reason, Time now);
-LogDecision logAnnounced (const OwnTarget& target);
+LogDecision logAnnounced (const LocalTarget& target);
 LogDecision logAdmission (const AdmissionChange& change);
 
 } // namespace plankledge::detail
--- a/modules/plankledge_policy/relay/gate/OwnTarget.cpp
+++ b/modules/plankledge_policy/relay/gate/LocalTarget.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/gate/OwnTarget.h"
+#include "plankledge_policy/relay/gate/LocalTarget.h"
 
 #include <algorithm>
 
@@ -23,12 +23,12 @@
 } // namespace
 
 //==============================================================================
-OwnTarget::OwnTarget (Duration announcementPeriod) noexcept
+LocalTarget::LocalTarget (Duration announcementPeriod) noexcept
     : m_announcementTimeout (announcementPeriod * maxMissedAnnouncements + maxAnnouncementDelay)
 {
 }
 
-OwnTarget::Change OwnTarget::onAnnounced (const TargetAnnounced& announced, Time now)
+LocalTarget::Change LocalTarget::onAnnounced (const TargetAnnounced& announced, Time now)
 {
     if (announced.m_state == AnnouncedState::gone)
         return onGone (announced.m_target, now);
@@ -50,7 +50,7 @@
 }
 
 /** Guards against a late announcement of an earlier incarnation replacing the current one. */
-bool OwnTarget::isStale (const TargetIncarnation& sender, Time now) const
+bool LocalTarget::isStale (const TargetIncarnation& sender, Time now) const
 {
     if (id().empty())
         return false;
@@ -70,7 +70,7 @@
     return (isSuperseded || startedEarlier) && isRecentlyAnnounced (now);
 }
 
-OwnTarget::Change OwnTarget::adopt (const TargetAnnounced& announced, Time now)
+LocalTarget::Change LocalTarget::adopt (const TargetAnnounced& announced, Time now)
 {
     const auto before = incarnation();
     const TargetIncarnation next { announced.m_target, announced.m_startedAt };
@@ -94,7 +94,7 @@
 
 /** A gone announcement carries no start time. It applies to the current incarnation, since work sent to a
     target that has gone is lost, unless it is still due from an earlier incarnation that drained. */
-OwnTarget::Change OwnTarget::onGone (const TargetId& target, Time now)
+LocalTarget::Change LocalTarget::onGone (const TargetId& target, Time now)
 {
     if (target == id())
     {
@@ -127,18 +127,18 @@
     return Change::none;
 }
 
-OwnTarget::Change OwnTarget::markLeaving (const TargetIncarnation& leaving)
+LocalTarget::Change LocalTarget::markLeaving (const TargetIncarnation& leaving)
 {
     const bool isNew = m_leaving.insert (leaving).second;
     return isNew ? Change::leaving : Change::none;
 }
 
-bool OwnTarget::isRecentlyAnnounced (Time now) const noexcept
+bool LocalTarget::isRecentlyAnnounced (Time now) const noexcept
 {
     return now - m_lastAnnouncedAt <= m_announcementTimeout;
 }
 
-bool OwnTarget::isServing (Time now) const noexcept
+bool LocalTarget::isServing (Time now) const noexcept
 {
     return ! id().empty() && ! isLeaving() && isRecentlyAnnounced (now);
 }
--- a/modules/plankledge_policy/relay/gate/OwnTarget.h
+++ b/modules/plankledge_policy/relay/gate/LocalTarget.h
@@ -31,7 +31,7 @@
     incarnation, announcements are ordered by their sequence number. Start times are compared
     only among targets on this instance, so they are all read from one clock.
 */
-class OwnTarget
+class LocalTarget
 {
 public:
     //==============================================================================
@@ -44,7 +44,7 @@
     };
 
     /** @param announcementPeriod   interval between announcements of a target */
-    explicit OwnTarget (Duration announcementPeriod) noexcept;
+    explicit LocalTarget (Duration announcementPeriod) noexcept;
 
     /** Applies an announcement.
 
--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -83,7 +83,7 @@
     }
 
     turn.timers().set (call.m_deadline + deadlineMargin, TimerKind::gateDeadline, id);
-    turn.timers().set (call.m_holdEnd, TimerKind::gateHold, id);
+    turn.timers().set (call.m_queueDeadline, TimerKind::gateQueueTimeout, id);
     m_byCaller[caller] = id;
     m_queue[queueKeyOf (id, call)] = id;
     m_queuedWork += call.m_slotTime;
@@ -100,8 +100,8 @@
     call.m_chainStartedAt = turn.now() - call.m_request.m_chainAge;
     call.m_deadline = turn.now() + call.m_request.m_timeLeft;
 
-    if (call.m_request.m_keyHoldsFor.has_value())
-        call.m_keyHoldsUntil = turn.now() + *call.m_request.m_keyHoldsFor;
+    if (call.m_request.m_keyValidFor.has_value())
+        call.m_keyValidUntil = turn.now() + *call.m_request.m_keyValidFor;
 
     call.m_slotTime = m_slotTimes.estimate (call.m_request.m_route);
     call.m_isChainActive =
@@ -109,14 +109,14 @@
     // Under overload, a chain that waits long for its first slot has too little time left for its later
     // calls.
     const bool hasFullQueueingTime = call.m_isChainActive || m_level.permille() >= fullQueueingLevel;
-    call.m_holdEnd = turn.now() + (hasFullQueueingTime ? call.m_request.m_longestQueueing
-                                                       : call.m_request.m_longestToBegin);
+    call.m_queueDeadline = turn.now() + (hasFullQueueingTime ? call.m_request.m_maxQueueTime
+                                                             : call.m_request.m_maxQueueTimeOfNewChain);
     return call;
 }
 
 TargetGate::QueueKey TargetGate::queueKeyOf (CallId id, const Call& call) noexcept
 {
-    return { ! call.m_isChainActive, call.m_request.m_urgency,
+    return { ! call.m_isChainActive, call.m_request.m_effectivePriority,
              call.m_isChainActive ? call.m_chainStartedAt : call.m_receivedAt, id };
 }
 
@@ -160,7 +160,7 @@
     if (m_queue.size() >= limit() * maxQueuedRounds)
         return Reason::queueFull;
 
-    return turn.now() + expectedWait (id, call) > call.m_holdEnd ? Reason::overloaded : Reason::none;
+    return turn.now() + expectedWait (id, call) > call.m_queueDeadline ? Reason::overloaded : Reason::none;
 }
 
 //==============================================================================
@@ -202,7 +202,7 @@
     m_activeChains.add (request.m_content.m_id, turn.now());
     m_graph.onRequest (request.m_route);
 
-    if (isLogged (request.m_content.m_id))
+    if (isLogSampled (request.m_content.m_id))
         turn.emit (detail::logDispatched (call, m_target.id(), m_running));
 
     turn.emit (RelayToTarget { id, request.m_content, request.m_callerService, m_target.id(),
@@ -264,26 +264,26 @@
     case TargetReplyKind::answered:
         return m_hooks.m_crashes.onAnswered (turn, call.m_request.m_digest);
     case TargetReplyKind::broken:
-        return m_hooks.m_crashes.watch().onBroken (call.m_request.m_digest, turn.now());
+        return m_hooks.m_crashes.watch().onConnectionBroken (call.m_request.m_digest, turn.now());
     case TargetReplyKind::notSent:
-        return m_hooks.m_crashes.watch().onRefusedConnection();
+        return m_hooks.m_crashes.watch().onConnectionRefused();
     case TargetReplyKind::rejected:
         break;
     }
 }
 
-void TargetGate::updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now)
+void TargetGate::updateCrashGuard (const LocalTarget::Change& change, bool wasLeaving, Time now)
 {
     auto& watch = m_hooks.m_crashes.watch();
 
-    if (change == OwnTarget::Change::replaced || change == OwnTarget::Change::restarted)
+    if (change == LocalTarget::Change::replaced || change == LocalTarget::Change::restarted)
     {
         std::vector<ContentDigest> running;
 
         for (const auto& [request, id] : m_runningByRequest)
             running.push_back (m_calls.at (id).m_request.m_digest);
 
-        watch.onNewLife (wasLeaving ? std::vector<ContentDigest>() : running, now);
+        watch.onNewIncarnation (wasLeaving ? std::vector<ContentDigest>() : running, now);
     }
     else if (! m_target.isLeaving())
         watch.onAnnounced (now);
@@ -298,13 +298,13 @@
 {
     const auto content = call.m_request.m_digest;
 
-    switch (m_hooks.m_crashes.judge (content, now).m_standing)
+    switch (m_hooks.m_crashes.holdStatus (content, now).m_holdState)
     {
-    case Standing::clear:
+    case HoldState::clear:
         return false;
-    case Standing::held:
+    case HoldState::held:
         return true;
-    case Standing::onTrial:
+    case HoldState::onTrial:
         break;
     }
 
@@ -326,13 +326,13 @@
     const auto change = m_target.onAnnounced (announced, turn.now());
     updateCrashGuard (change, wasLeaving, turn.now());
 
-    if (change != OwnTarget::Change::none)
+    if (change != LocalTarget::Change::none)
         turn.emit (detail::logAnnounced (m_target));
 
-    if (change == OwnTarget::Change::restarted)
+    if (change == LocalTarget::Change::restarted)
         abandonRunning (turn);
 
-    if (change == OwnTarget::Change::replaced || change == OwnTarget::Change::restarted)
+    if (change == LocalTarget::Change::replaced || change == LocalTarget::Change::restarted)
         resetTargetState (turn);
 
     updateOpen (turn);
@@ -363,7 +363,7 @@
 
     for (const auto id : running)
     {
-        turn.emit (AbandonTarget { id });
+        turn.emit (CancelTargetCall { id });
         finish (turn, id, { Outcome::unknown, Reason::targetBroken, {}, {} });
     }
 }
@@ -380,7 +380,7 @@
     const auto call = removeCall (turn, id);
 
     if (call.m_isDispatched)
-        turn.emit (AbandonTarget { id });
+        turn.emit (CancelTargetCall { id });
 
     countIfLost (turn, call);
     dispatchNext (turn);
@@ -409,11 +409,11 @@
         return finish (turn, id, refusal (Reason::deadlineExceeded));
 
     addSample (found->second, turn.now(), true);
-    turn.emit (AbandonTarget { id });
+    turn.emit (CancelTargetCall { id });
     finish (turn, id, { Outcome::unknown, Reason::deadlineExceeded, {}, {} });
 }
 
-void TargetGate::onHoldEnd (Turn& turn, CallId id)
+void TargetGate::onQueueTimeout (Turn& turn, CallId id)
 {
     const auto found = m_calls.find (id);
 
@@ -494,7 +494,7 @@
         m_queuedWork -= call.m_slotTime;
 
     turn.timers().cancel (call.m_deadline + deadlineMargin, TimerKind::gateDeadline, id);
-    turn.timers().cancel (call.m_holdEnd, TimerKind::gateHold, id);
+    turn.timers().cancel (call.m_queueDeadline, TimerKind::gateQueueTimeout, id);
 
     if (call.m_isDispatched)
     {
@@ -534,13 +534,13 @@
         return std::nullopt;
 
     const auto& call = m_calls.at (found->second);
-    return Running { call.m_request, call.m_chainStartedAt, call.m_callsDone };
+    return Running { call.m_request, call.m_chainStartedAt, call.m_completedCalls };
 }
 
-void TargetGate::onCallDone (std::string_view requestId) noexcept
+void TargetGate::onCallCompleted (std::string_view requestId) noexcept
 {
     if (const auto found = m_runningByRequest.find (requestId); found != m_runningByRequest.end())
-        ++m_calls.at (found->second).m_callsDone;
+        ++m_calls.at (found->second).m_completedCalls;
 }
 
 void TargetGate::onNestedCall (const RouteName& caller, const RouteName& callee, const ServiceName& service)
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -6,7 +6,7 @@
 #include "plankledge_policy/relay/gate/ActiveChains.h"
 #include "plankledge_policy/relay/gate/AdmissionLevel.h"
 #include "plankledge_policy/relay/gate/GateCall.h"
-#include "plankledge_policy/relay/gate/OwnTarget.h"
+#include "plankledge_policy/relay/gate/LocalTarget.h"
 #include "plankledge_policy/relay/gate/RouteTimes.h"
 #include "plankledge_policy/relay/routes/CallGraph.h"
 
@@ -64,7 +64,7 @@
     void onReply (Turn& turn, const TargetReply& reply);
     void onAnnounced (Turn& turn, const TargetAnnounced& announced);
     void onDeadline (Turn& turn, CallId id);
-    void onHoldEnd (Turn& turn, CallId id);
+    void onQueueTimeout (Turn& turn, CallId id);
     void onWindowEnd (Turn& turn);
     void onPeriodEnd (Turn& turn);
 
@@ -77,7 +77,7 @@
     {
         const RelayRequest& m_request;
         Time m_chainStartedAt;
-        std::uint32_t m_callsDone = 0; /**< nested calls that succeeded */
+        std::uint32_t m_completedCalls = 0; /**< nested calls that succeeded */
     };
 
     /** @returns the request with this id, or nullopt if it is not running here */
@@ -87,12 +87,12 @@
     void onNestedCall (const RouteName& caller, const RouteName& callee, const ServiceName& service);
 
     /** Records that a nested call of the running request with this id succeeded. */
-    void onCallDone (std::string_view requestId) noexcept;
+    void onCallCompleted (std::string_view requestId) noexcept;
 
     GateStatus status() const noexcept;
     std::vector<RouteTime> routeTimes() const { return m_serviceTimes.all(); }
     std::vector<CallEdge> callEdges() const { return m_graph.ownEdges(); }
-    const OwnTarget& target() const noexcept { return m_target; }
+    const LocalTarget& target() const noexcept { return m_target; }
     bool isIdle() const noexcept { return m_calls.empty(); }
     std::size_t running() const noexcept { return m_running; }
     std::size_t queued() const noexcept { return m_queue.size(); }
@@ -120,13 +120,13 @@
     Call removeCall (Turn& turn, CallId id);
     void addSample (const Call& call, Time now, bool isFailure);
     void updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind);
-    void updateCrashGuard (const OwnTarget::Change& change, bool wasLeaving, Time now);
+    void updateCrashGuard (const LocalTarget::Change& change, bool wasLeaving, Time now);
     bool isBlockedAsSuspect (const Call& call, Time now) const;
     void countIfLost (Turn& turn, const Call& call) const;
     void updateOpen (Turn& turn);
 
     Hooks m_hooks;
-    OwnTarget m_target;
+    LocalTarget m_target;
     AdmissionLevel m_level;
     int m_publishedLevel = 1000; /**< thousandths; as last passed to m_onStatusChanged */
     CallGraph m_graph;
--- a/modules/plankledge_policy/relay/limits/LimitHomes.cpp
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.cpp
@@ -18,8 +18,8 @@
 
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isHeard && peer.m_askedAt.has_value() &&
-           now - *peer.m_askedAt > LimitHomes::replacedAfter;
+    return ! peer.m_isReachable && peer.m_askedAt.has_value() &&
+           now - *peer.m_askedAt > LimitHomes::replacementDelay;
 }
 
 } // namespace
@@ -80,7 +80,8 @@
 bool LimitHomes::isUsable (const Peer& peer) const noexcept
 {
     const auto unresponsive = m_unresponsive.find (peer.m_member.m_id.m_instance);
-    return peer.m_isHeard && (unresponsive == m_unresponsive.end() || peer.m_heardAt > unresponsive->second);
+    return peer.m_isReachable &&
+           (unresponsive == m_unresponsive.end() || peer.m_heardAt > unresponsive->second);
 }
 
 const Peer* LimitHomes::homeOf (const OrganisationName& organisation) const
--- a/modules/plankledge_policy/relay/limits/LimitHomes.h
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.h
@@ -29,7 +29,7 @@
     static constexpr std::size_t maxHomes = 8;
 
     /** How long a home may leave hellos unanswered before another one replaces it. */
-    static constexpr Duration replacedAfter = PeerTable::silenceLimit;
+    static constexpr Duration replacementDelay = PeerTable::helloTimeout;
 
     /** A home that was silent for this long is sent a hello. */
     static constexpr Duration contactPeriod = Milliseconds (500);
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 //==============================================================================
-OrganisationLimits::OrganisationLimits (const RelaySettings& settings, const RouteFollower& routes,
+OrganisationLimits::OrganisationLimits (const RelaySettings& settings, const RouteSync& routes,
                                         PeerTable& peers, OnDecided onDecided)
     : m_settings (settings)
     , m_routes (routes)
@@ -53,11 +53,11 @@
 }
 
 //==============================================================================
-std::optional<OrganisationLimits::Judgement>
+std::optional<OrganisationLimits::LimitDecision>
 OrganisationLimits::ask (Turn& turn, const OrganisationName& organisation, CallId request)
 {
     if (organisation.empty())
-        return Judgement { LimitVerdict::within, {} };
+        return LimitDecision { LimitVerdict::within, {} };
 
     if (limitOf (organisation) == nullptr)
         return recordDecision (organisation, { LimitVerdict::within, {} });
@@ -112,14 +112,14 @@
     // A home with an older configuration may not know the organisation yet.
     const auto decision = answer.m_verdict == LimitVerdict::unknown
                               ? decideLocally (question.m_organisation, turn.now())
-                              : Judgement { answer.m_verdict, answer.m_wait };
+                              : LimitDecision { answer.m_verdict, answer.m_wait };
     m_onDecided (turn, question.m_request, recordDecision (question.m_organisation, decision));
 }
 
 //==============================================================================
 /** Counts the decision on a request that arrived at this node. */
-OrganisationLimits::Judgement OrganisationLimits::recordDecision (const OrganisationName& organisation,
-                                                                  const Judgement& decision)
+OrganisationLimits::LimitDecision OrganisationLimits::recordDecision (const OrganisationName& organisation,
+                                                                      const LimitDecision& decision)
 {
     auto& count = m_counts[organisation];
 
@@ -139,9 +139,9 @@
     return decision;
 }
 
-OrganisationLimits::Judgement OrganisationLimits::decide (TokenBuckets& buckets,
-                                                          const OrganisationName& organisation, double share,
-                                                          double initialLevel, Time now)
+OrganisationLimits::LimitDecision OrganisationLimits::decide (TokenBuckets& buckets,
+                                                              const OrganisationName& organisation,
+                                                              double share, double initialLevel, Time now)
 {
     const auto* limit = limitOf (organisation);
 
@@ -153,8 +153,8 @@
     return { wait > Duration::zero() ? LimitVerdict::beyond : LimitVerdict::within, wait };
 }
 
-OrganisationLimits::Judgement OrganisationLimits::decideAtHome (const OrganisationName& organisation,
-                                                                Time now)
+OrganisationLimits::LimitDecision OrganisationLimits::decideAtHome (const OrganisationName& organisation,
+                                                                    Time now)
 {
     const auto* limit = limitOf (organisation);
 
@@ -167,8 +167,8 @@
     return decision;
 }
 
-OrganisationLimits::Judgement OrganisationLimits::decideLocally (const OrganisationName& organisation,
-                                                                 Time now)
+OrganisationLimits::LimitDecision OrganisationLimits::decideLocally (const OrganisationName& organisation,
+                                                                     Time now)
 {
     const auto fraction = m_settings.m_limitSharing == LimitSharing::fixedShares ? 1.0 : fallbackFraction;
     const auto share = fraction / static_cast<double> (m_peers.size());
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.h
@@ -5,7 +5,7 @@
 #include "plankledge_policy/relay/limits/LimitHomes.h"
 #include "plankledge_policy/relay/limits/OrganisationCounts.h"
 #include "plankledge_policy/relay/limits/TokenBucket.h"
-#include "plankledge_policy/relay/routes/RouteFollower.h"
+#include "plankledge_policy/relay/routes/RouteSync.h"
 
 #include <functional>
 #include <map>
@@ -38,18 +38,18 @@
 public:
     //==============================================================================
     /** Whether a request is within the limit, and if not, how long the caller should wait. */
-    struct Judgement
+    struct LimitDecision
     {
         LimitVerdict m_verdict = LimitVerdict::unknown;
         Duration m_wait {};
 
-        auto operator<=> (const Judgement&) const = default;
+        auto operator<=> (const LimitDecision&) const = default;
     };
 
-    using OnDecided = std::function<void (Turn&, CallId request, const Judgement&)>;
+    using OnDecided = std::function<void (Turn&, CallId request, const LimitDecision&)>;
 
     /** @param onDecided   receives the decisions that ask() could not return at once */
-    OrganisationLimits (const RelaySettings& settings, const RouteFollower& routes, PeerTable& peers,
+    OrganisationLimits (const RelaySettings& settings, const RouteSync& routes, PeerTable& peers,
                         OnDecided onDecided);
 
     //==============================================================================
@@ -58,7 +58,7 @@
         @returns the decision, or std::nullopt if it has to be requested from the home; the OnDecided hook
                  then receives it
     */
-    std::optional<Judgement> ask (Turn& turn, const OrganisationName& organisation, CallId request);
+    std::optional<LimitDecision> ask (Turn& turn, const OrganisationName& organisation, CallId request);
 
     /** Cancels a pending question. */
     void forget (CallId request);
@@ -107,11 +107,11 @@
     RequestLimit limitInForce (const OrganisationName& organisation, const RequestLimit& declared,
                                Time now) const noexcept;
     void recordLoweredLimits (Time now);
-    Judgement recordDecision (const OrganisationName& organisation, const Judgement& decision);
-    Judgement decide (TokenBuckets& buckets, const OrganisationName& organisation, double share,
-                      double initialLevel, Time now);
-    Judgement decideAtHome (const OrganisationName& organisation, Time now);
-    Judgement decideLocally (const OrganisationName& organisation, Time now);
+    LimitDecision recordDecision (const OrganisationName& organisation, const LimitDecision& decision);
+    LimitDecision decide (TokenBuckets& buckets, const OrganisationName& organisation, double share,
+                          double initialLevel, Time now);
+    LimitDecision decideAtHome (const OrganisationName& organisation, Time now);
+    LimitDecision decideLocally (const OrganisationName& organisation, Time now);
     double initialLevelOf (const RequestLimit& limit) const noexcept;
     void decideUnanswered (Turn& turn, const std::function<bool (const Question&)>& isUnanswered,
                            bool isHomeUnresponsive);
@@ -119,7 +119,7 @@
     void dropMovedBuckets();
 
     const RelaySettings m_settings;
-    const RouteFollower& m_routes;
+    const RouteSync& m_routes;
     PeerTable& m_peers;
     const OnDecided m_onDecided;
     LimitHomes m_homes;
--- a/modules/plankledge_policy/relay/peers/LinkDelayEstimator.h
+++ b/modules/plankledge_policy/relay/peers/LinkDelayEstimator.h
@@ -26,7 +26,7 @@
         @param now      when it was received, by the local clock
         @returns how long the frame was delayed
     */
-    Duration delayOf (Duration sentAt, Time now) noexcept
+    Duration queueingDelay (Duration sentAt, Time now) noexcept
     {
         const auto difference = now.time_since_epoch() - sentAt;
         m_minDifference = std::min (m_minDifference.value_or (difference), difference);
--- a/modules/plankledge_policy/relay/peers/PeerContacts.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.cpp
@@ -43,7 +43,7 @@
 
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isHeard && peer.m_askedAt.has_value() && now - *peer.m_askedAt > subsetRetention;
+    return ! peer.m_isReachable && peer.m_askedAt.has_value() && now - *peer.m_askedAt > subsetRetention;
 }
 
 } // namespace
--- a/modules/plankledge_policy/relay/peers/PeerTable.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerTable.cpp
@@ -27,7 +27,7 @@
 {
     auto& own = m_peers[m_self];
     own.m_member = self;
-    own.m_isHeard = true;
+    own.m_isReachable = true;
     rebuildIndexes();
 }
 
@@ -65,7 +65,7 @@
     // An address belongs to one node at a time: the latest to be learned replaces an unreachable one.
     const auto erased = std::erase_if (m_peers, [&] (const auto& entry) {
         return entry.first != instance && entry.first != m_self &&
-               entry.second.m_member.m_endpoint == member.m_endpoint && ! entry.second.m_isHeard;
+               entry.second.m_member.m_endpoint == member.m_endpoint && ! entry.second.m_isReachable;
     });
 
     if (erased > 0)
@@ -74,7 +74,7 @@
     auto& peer = m_peers[instance];
 
     if (peer.m_member == member ||
-        (source == Source::store && (peer.m_isHeard || isEarlierIncarnation (member, peer))))
+        (source == Source::store && (peer.m_isReachable || isEarlierIncarnation (member, peer))))
         return false;
 
     const bool isSameIncarnation =
@@ -93,14 +93,14 @@
     const auto found = m_peers.find (instance);
 
     // A reachable node is kept, even if the store has no record of it.
-    if (found != m_peers.end() && instance != m_self && ! found->second.m_isHeard)
+    if (found != m_peers.end() && instance != m_self && ! found->second.m_isReachable)
     {
         m_peers.erase (found);
         rebuildIndexes();
     }
 }
 
-bool PeerTable::onHeard (const NodeId& from, Time now)
+bool PeerTable::onFrameReceived (const NodeId& from, Time now)
 {
     auto* peer = find (from.m_instance);
 
@@ -109,7 +109,7 @@
 
     peer->m_heardAt = now;
     peer->m_askedAt.reset();
-    return ! std::exchange (peer->m_isHeard, true);
+    return ! std::exchange (peer->m_isReachable, true);
 }
 
 bool PeerTable::onGate (const InstanceName& instance, const GateStatus& gate, Time now)
@@ -173,7 +173,7 @@
 bool PeerTable::onUnreachable (const InstanceName& instance)
 {
     auto* peer = find (instance);
-    return peer != nullptr && instance != m_self && std::exchange (peer->m_isHeard, false);
+    return peer != nullptr && instance != m_self && std::exchange (peer->m_isReachable, false);
 }
 
 void PeerTable::onStoreView (const InstanceName& instance, const StoreView& view)
@@ -193,7 +193,7 @@
     ++peer->m_callsUpdates;
 }
 
-void PeerTable::onAsked (const InstanceName& instance, Time now)
+void PeerTable::onHelloSent (const InstanceName& instance, Time now)
 {
     auto* peer = find (instance);
 
@@ -230,21 +230,21 @@
     }
 }
 
-std::vector<InstanceName> PeerTable::takeSilent (Time now)
+std::vector<InstanceName> PeerTable::takeNewlyUnreachable (Time now)
 {
     std::vector<InstanceName> unreachable;
 
     for (auto& [instance, peer] : m_peers)
     {
-        if (instance == m_self || ! peer.m_isHeard)
+        if (instance == m_self || ! peer.m_isReachable)
             continue;
 
-        const bool isUnanswered = peer.m_askedAt.has_value() && now - *peer.m_askedAt > silenceLimit;
+        const bool isUnanswered = peer.m_askedAt.has_value() && now - *peer.m_askedAt > helloTimeout;
 
         if (! isUnanswered && now - peer.m_heardAt <= inactivityTimeout)
             continue;
 
-        peer.m_isHeard = false;
+        peer.m_isReachable = false;
         unreachable.push_back (instance);
     }
 
@@ -264,12 +264,12 @@
     return found == m_peers.end() ? nullptr : &found->second;
 }
 
-std::vector<const Peer*> PeerTable::takingWork (const ServiceName& service) const
+std::vector<const Peer*> PeerTable::acceptingRequests (const ServiceName& service) const
 {
     std::vector<const Peer*> result;
 
     for (const auto* peer : ofService (service))
-        if (peer->m_isHeard && peer->m_gate.m_isOpen)
+        if (peer->m_isReachable && peer->m_gate.m_isOpen)
             result.push_back (peer);
 
     return result;
--- a/modules/plankledge_policy/relay/peers/PeerTable.h
+++ b/modules/plankledge_policy/relay/peers/PeerTable.h
@@ -27,11 +27,11 @@
     unsigned m_callsUpdates = 0;           /**< how often calls were received */
     Time m_sentAt;                         /**< when a request was last sent to it */
     Time m_heardAt;                        /**< when any frame from it was last received */
-    bool m_isHeard = false;                /**< it is considered reachable */
+    bool m_isReachable = false;            /**< it is considered reachable */
     std::optional<Time> m_askedAt;         /**< when the oldest unanswered hello was sent; nullopt: none */
     Time m_lastAskedAt;                    /**< when the latest hello was sent */
     LinkId m_inboundLink = 0;              /**< the connection it opened to this node; 0: none */
-    LinkDelayEstimator m_clock;
+    LinkDelayEstimator m_delayEstimator;
     StoreView m_store; /**< its view of the store, as last received */
 
     /** @returns the estimated number of requests that run or wait at its gate */
@@ -57,7 +57,7 @@
     //==============================================================================
     /** A peer that leaves a hello unanswered for this long is unreachable and receives no requests. Must
         tolerate several consecutive pauses of a CPU-throttled process. */
-    static constexpr Duration silenceLimit = Milliseconds (600);
+    static constexpr Duration helloTimeout = Milliseconds (600);
 
     /** A peer from which nothing has been received for this long is unreachable, even if no hello was sent to
         it. Must exceed twice the longest interval of hellos. */
@@ -85,7 +85,7 @@
 
         @returns true if the peer was unreachable before
     */
-    bool onHeard (const NodeId& from, Time now);
+    bool onFrameReceived (const NodeId& from, Time now);
 
     /** Updates the state of the peer's gate.
 
@@ -112,7 +112,7 @@
     void onCalls (const InstanceName& instance, Time now);
 
     /** Must be called when a hello has been sent to the peer. */
-    void onAsked (const InstanceName& instance, Time now);
+    void onHelloSent (const InstanceName& instance, Time now);
 
     /** Records the connection that the peer opened to this node.
 
@@ -136,13 +136,13 @@
 
         @returns those that were reachable before
     */
-    std::vector<InstanceName> takeSilent (Time now);
+    std::vector<InstanceName> takeNewlyUnreachable (Time now);
 
     Peer* find (const InstanceName& instance) noexcept;
     const Peer* find (const InstanceName& instance) const noexcept;
 
     /** @returns the reachable nodes of the service whose gates are open */
-    std::vector<const Peer*> takingWork (const ServiceName& service) const;
+    std::vector<const Peer*> acceptingRequests (const ServiceName& service) const;
 
     /** @returns all nodes of the service, ordered by name */
     const std::vector<Peer*>& ofService (const ServiceName& service) const;
--- a/modules/plankledge_policy/relay/routes/CallGraph.cpp
+++ b/modules/plankledge_policy/relay/routes/CallGraph.cpp
@@ -59,7 +59,7 @@
 }
 
 //==============================================================================
-void CallGraph::onPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges)
+void CallGraph::setPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges)
 {
     auto& known = m_peers[peer];
 
--- a/modules/plankledge_policy/relay/routes/CallGraph.h
+++ b/modules/plankledge_policy/relay/routes/CallGraph.h
@@ -36,7 +36,7 @@
     std::vector<CallEdge> ownEdges() const;
 
     /** Replaces the edges reported by a peer. */
-    void onPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges);
+    void setPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges);
 
     /** Removes the edges reported by a peer. */
     void forget (const InstanceName& peer);
--- a/modules/plankledge_policy/relay/routes/RouteFollower.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteSync.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/routes/RouteFollower.h"
+#include "plankledge_policy/relay/routes/RouteSync.h"
 
 #include <fmt/format.h>
 
@@ -14,14 +14,14 @@
 } // namespace
 
 //==============================================================================
-RouteFollower::RouteFollower (RouteTableParser parser, std::function<void()> onInForce)
+RouteSync::RouteSync (RouteTableParser parser, std::function<void()> onInForce)
     : m_parser (std::move (parser))
     , m_onInForce (std::move (onInForce))
 {
 }
 
-std::optional<ConfigurationVersion> RouteFollower::onText (Turn& turn, const std::string& text,
-                                                           const std::string& source)
+std::optional<ConfigurationVersion> RouteSync::onText (Turn& turn, const std::string& text,
+                                                       const std::string& source)
 {
     if (text == m_text)
         return version();
@@ -52,8 +52,8 @@
     return version();
 }
 
-void RouteFollower::onPeerVersion (Turn& turn, const InstanceName& peer, const Endpoint& endpoint,
-                                   ConfigurationVersion peerVersion)
+void RouteSync::onPeerVersion (Turn& turn, const InstanceName& peer, const Endpoint& endpoint,
+                               ConfigurationVersion peerVersion)
 {
     if (peerVersion <= version())
         return;
@@ -66,7 +66,7 @@
     turn.emit (SendToPeer { peer, endpoint, RoutesPull { version() } });
 }
 
-void RouteFollower::onPull (Turn& turn, LinkId link, const InstanceName& peer, const RoutesPull& pull) const
+void RouteSync::onPull (Turn& turn, LinkId link, const InstanceName& peer, const RoutesPull& pull) const
 {
     if (version() > pull.m_have)
         turn.emit (ReplyOnLink { link, peer, RoutesText { m_text } });
--- a/modules/plankledge_policy/relay/routes/RouteFollower.h
+++ b/modules/plankledge_policy/relay/routes/RouteSync.h
@@ -16,12 +16,12 @@
     Routes are read from the store and pulled from peers that have a higher version.
     The version never decreases while the process runs.
 */
-class RouteFollower
+class RouteSync
 {
 public:
     //==============================================================================
     /** @param onInForce   called after a new version was put in force */
-    RouteFollower (RouteTableParser parser, std::function<void()> onInForce);
+    RouteSync (RouteTableParser parser, std::function<void()> onInForce);
 
     /** Parses the text of a version and puts it in force if it is newer.
 
--- a/modules/plankledge_policy/relay/routes/RouteTable.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteTable.cpp
@@ -83,13 +83,13 @@
     return nullptr;
 }
 
-double RouteTable::placeOfPriority (std::uint32_t priority) const noexcept
+double RouteTable::shedRankOfPriority (std::uint32_t priority) const noexcept
 {
     const auto place = std::lower_bound (m_priorities.begin(), m_priorities.end(), priority);
-    return static_cast<double> (place - m_priorities.begin()) * widthOfPriority();
+    return static_cast<double> (place - m_priorities.begin()) * shedRankWidth();
 }
 
-double RouteTable::widthOfPriority() const noexcept
+double RouteTable::shedRankWidth() const noexcept
 {
     return 1.0 / static_cast<double> (std::max<std::size_t> (1, m_priorities.size()));
 }
--- a/modules/plankledge_policy/relay/routes/RouteTable.h
+++ b/modules/plankledge_policy/relay/routes/RouteTable.h
@@ -31,8 +31,8 @@
     bool m_isRepeatable = true;
     std::uint32_t m_priority = 0; /**< 0 is the most urgent: refused last */
     Duration m_timeout {};        /**< every request is answered within this time, if need be with an error */
-    Duration m_latencyObjective {};   /**< desired time to the answer */
-    std::uint32_t m_mostAttempts = 1; /**< number of targets that one request may be sent to */
+    Duration m_latencyObjective {};  /**< desired time to the answer */
+    std::uint32_t m_maxAttempts = 1; /**< number of targets that one request may be sent to */
     std::vector<WeightedService> m_services;
     bool m_isPublic = true; /**< requests need no API key */
 
@@ -81,10 +81,10 @@
     }
 
     /** @returns the start of the priority's interval in [0, 1); the priorities in use divide it equally */
-    double placeOfPriority (std::uint32_t priority) const noexcept;
+    double shedRankOfPriority (std::uint32_t priority) const noexcept;
 
     /** @returns the width of each priority's interval in [0, 1) */
-    double widthOfPriority() const noexcept;
+    double shedRankWidth() const noexcept;
 
     auto operator<=> (const RouteTable&) const = default;
 
--- a/modules/plankledge_policy/relay/store/StoreFollowers.cpp
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.cpp
@@ -16,11 +16,11 @@
     const Peer* m_peer = nullptr;
 };
 
-/** @returns true if hellos to the peer have been unanswered for longer than replacedAfter */
+/** @returns true if hellos to the peer have been unanswered for longer than replacementDelay */
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isHeard && peer.m_askedAt.has_value() &&
-           now - *peer.m_askedAt > StoreFollowers::replacedAfter;
+    return ! peer.m_isReachable && peer.m_askedAt.has_value() &&
+           now - *peer.m_askedAt > StoreFollowers::replacementDelay;
 }
 
 } // namespace
--- a/modules/plankledge_policy/relay/store/StoreFollowers.h
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.h
@@ -29,7 +29,7 @@
 
     /** How long hellos to a node may stay unanswered before the next node in the order replaces it. Allows
         for a process restart. */
-    static constexpr Duration replacedAfter = std::chrono::seconds (2);
+    static constexpr Duration replacementDelay = std::chrono::seconds (2);
 
     struct Chosen
     {
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -116,13 +116,13 @@
     return result;
 }
 
-const Peer* StoreSync::watcher() const
+const Peer* StoreSync::primaryFollower() const
 {
-    if (isWatching())
+    if (isPrimaryFollower())
         return nullptr;
 
     for (const auto* peer : chosenPeers())
-        if (peer->m_isHeard && peer->m_store.m_isFollowing && peer->m_store.m_isReached)
+        if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isReached)
             return peer;
 
     return nullptr;
@@ -135,7 +135,7 @@
 
     for (const auto* peer : chosenPeers())
     {
-        if (! peer->m_isHeard || ! peer->m_store.m_isFollowing)
+        if (! peer->m_isReachable || ! peer->m_store.m_isFollowing)
             continue;
 
         m_followerSeenAt = now;
@@ -202,7 +202,7 @@
     return m_directory.end() > before;
 }
 
-bool StoreSync::onTold (Turn& turn, const MembersTold& told)
+bool StoreSync::onMembersTold (Turn& turn, const MembersTold& told)
 {
     if (told.m_end <= m_directory.end())
         return false;
@@ -320,7 +320,7 @@
     {
         const auto& instance = peer->m_member.m_id.m_instance;
 
-        if (peer->m_isHeard || instance == m_self.m_id.m_instance)
+        if (peer->m_isReachable || instance == m_self.m_id.m_instance)
         {
             m_unreachableSince.erase (instance);
             continue;
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -54,13 +54,13 @@
 
     /** Sets the longest time for which the primary follower's read of the routes may block, so that proofs of
         the newest version stay recent. Zero selects the default. */
-    void setLongestRead (Duration wait) noexcept { m_maxReadWait = wait; }
+    void setMaxReadWait (Duration wait) noexcept { m_maxReadWait = wait; }
 
     /** @returns true if this node is the primary follower of its zone, or reaches no follower */
-    bool isWatching() const noexcept { return m_isFollowing && m_readWait > Duration::zero(); }
+    bool isPrimaryFollower() const noexcept { return m_isFollowing && m_readWait > Duration::zero(); }
 
     /** @returns the other node that this node takes for the primary follower, or nullptr if there is none */
-    const Peer* watcher() const;
+    const Peer* primaryFollower() const;
 
     /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
     void onPause (Time now);
@@ -75,7 +75,7 @@
 
         @returns true if they contained changes
     */
-    bool onTold (Turn& turn, const MembersTold& told);
+    bool onMembersTold (Turn& turn, const MembersTold& told);
 
     /** Must be called when the store becomes reachable or unreachable. */
     void onReached (const StoreReached& event, Time now);
--- a/modules/plankledge_policy/retries/RetryBudget.h
+++ b/modules/plankledge_policy/retries/RetryBudget.h
@@ -59,7 +59,7 @@
         @param returned   retries left according to the child; limited to granted
         @param granted    retries that it was granted
     */
-    void takeBack (RetryCount returned, RetryCount granted) noexcept
+    void refund (RetryCount returned, RetryCount granted) noexcept
     {
         m_remaining += returned < granted ? returned : granted;
     }
--- a/modules/plankledge_policy/retries/RetryDecision.cpp
+++ b/modules/plankledge_policy/retries/RetryDecision.cpp
@@ -32,13 +32,13 @@
 /** @returns whether an attempt at another instance would be pointless */
 bool isFinal (const CallResult& result) noexcept
 {
-    return result.m_isFinal || ! canPassLater (result.m_reason);
+    return result.m_isFinal || ! isTransient (result.m_reason);
 }
 
 } // namespace
 
 //==============================================================================
-bool RetryDecision::mayGoAgain (Turn& turn, const RetrySubject& subject, const CallResult& result,
+bool RetryDecision::admitRetry (Turn& turn, const RetrySubject& subject, const CallResult& result,
                                 RetryHistory& history)
 {
     const auto deny = [&turn] (RetryDenied reason) {
--- a/modules/plankledge_policy/retries/RetryDecision.h
+++ b/modules/plankledge_policy/retries/RetryDecision.h
@@ -44,7 +44,7 @@
 
         @returns whether the request is sent to another instance
     */
-    bool mayGoAgain (Turn& turn, const RetrySubject& subject, const CallResult& result,
+    bool admitRetry (Turn& turn, const RetrySubject& subject, const CallResult& result,
                      RetryHistory& history);
 
 private:
--- a/modules/plankledge_runtime/CallerEdge.cpp
+++ b/modules/plankledge_runtime/CallerEdge.cpp
@@ -57,7 +57,7 @@
 
     return [this, ticket] {
         if (m_waiting.erase (ticket) > 0)
-            m_node.submit (RequesterGone { ticket });
+            m_node.submit (CallerDisconnected { ticket });
     };
 }
 
--- a/modules/plankledge_runtime/CallerHttp.cpp
+++ b/modules/plankledge_runtime/CallerHttp.cpp
@@ -159,9 +159,9 @@
                                 result.m_outcome, nameOf (result.m_reason));
     }
 
-    if (result.m_comeBack > Duration::zero())
+    if (result.m_retryAfter > Duration::zero())
     {
-        const auto milliseconds = toMilliseconds (result.m_comeBack);
+        const auto milliseconds = toMilliseconds (result.m_retryAfter);
         response.m_headers.emplace_back ("Retry-After", fmt::format ("{}", (milliseconds + 999) / 1000));
         response.m_headers.emplace_back ("Plankledge-Retry-After-Ms", fmt::format ("{}", milliseconds));
     }
--- a/modules/plankledge_runtime/LinkTraffic.cpp
+++ b/modules/plankledge_runtime/LinkTraffic.cpp
@@ -32,7 +32,7 @@
     FrameKind operator() (const ProofAnswer&) const noexcept { return FrameKind::proof; }
     FrameKind operator() (const LimitQuestion&) const noexcept { return FrameKind::limit; }
     FrameKind operator() (const LimitAnswer&) const noexcept { return FrameKind::limit; }
-    FrameKind operator() (const CrashNews&) const noexcept { return FrameKind::crashes; }
+    FrameKind operator() (const CrashUpdate&) const noexcept { return FrameKind::crashes; }
     FrameKind operator() (const CrashPull&) const noexcept { return FrameKind::crashes; }
     template <class Other> FrameKind operator() (const Other&) const noexcept { return FrameKind::keyed; }
 };
--- a/modules/plankledge_runtime/NodeMetrics.cpp
+++ b/modules/plankledge_runtime/NodeMetrics.cpp
@@ -81,7 +81,7 @@
     appendCounter (text, "store_restores_total", counters.m_storeRestores);
     appendCounter (text, "acquittals_total", counters.m_acquittals);
     appendCounter (text, "late_answers_total", counters.m_lateAnswers);
-    appendCounter (text, "pauses_total", counters.m_wakes);
+    appendCounter (text, "pauses_total", counters.m_detectedPauses);
 }
 
 void appendEdgeCounters (std::string& text, const NodeMetrics& metrics, const ControlTraffic& traffic)
--- a/modules/plankledge_runtime/NoticeLog.cpp
+++ b/modules/plankledge_runtime/NoticeLog.cpp
@@ -89,7 +89,7 @@
         fields.push_back ({ input.m_name, input.m_value });
 
     logger.write (Severity::info, nameOf (decision.m_decision), fields,
-                  ! decision.m_request.empty() && isLogged (decision.m_request));
+                  ! decision.m_request.empty() && isLogSampled (decision.m_request));
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/RelayCallerEdge.cpp
+++ b/modules/plankledge_runtime/RelayCallerEdge.cpp
@@ -38,7 +38,7 @@
 
     return [this, ticket] {
         if (m_waiting.erase (ticket) > 0)
-            m_node.submit (RequesterGone { ticket });
+            m_node.submit (CallerDisconnected { ticket });
     };
 }
 
--- a/modules/plankledge_runtime/RelayTargetEdge.h
+++ b/modules/plankledge_runtime/RelayTargetEdge.h
@@ -26,7 +26,7 @@
     RelayTargetEdge (boost::asio::io_context& context, Node& node, NodeMetrics& metrics, Hooks hooks);
 
     void carryOut (const RelayToTarget& effect);
-    void carryOut (const AbandonTarget& effect) { m_client.abandon (effect.m_call); }
+    void carryOut (const CancelTargetCall& effect) { m_client.abandon (effect.m_call); }
     void carryOut (const DropTargetConnections&) { m_client.dropIdle(); }
 
 private:
--- a/modules/plankledge_runtime/TargetEdge.cpp
+++ b/modules/plankledge_runtime/TargetEdge.cpp
@@ -45,7 +45,7 @@
     m_client.send (effect.m_call, m_endpoint, makeTargetRequest (effect));
 }
 
-void TargetEdge::carryOut (const AbandonTarget& effect)
+void TargetEdge::carryOut (const CancelTargetCall& effect)
 {
     m_client.abandon (effect.m_call);
 }
--- a/modules/plankledge_runtime/TargetEdge.h
+++ b/modules/plankledge_runtime/TargetEdge.h
@@ -23,7 +23,7 @@
     void start() { probe(); }
 
     void carryOut (const DispatchToTarget& effect);
-    void carryOut (const AbandonTarget& effect);
+    void carryOut (const CancelTargetCall& effect);
 
     bool isServing() const noexcept { return m_state == TargetState::serving; }
 
--- a/standins/standin-target.cpp
+++ b/standins/standin-target.cpp
@@ -73,8 +73,9 @@
         , m_drainTimer (context)
         , m_client (context)
         , m_outboundEndpoint (outbound)
-        , m_outbound (context,
-                      [this] (CallId call, const TargetClient::Answer& answer) { onCallDone (call, answer); })
+        , m_outbound (
+              context,
+              [this] (CallId call, const TargetClient::Answer& answer) { onCallCompleted (call, answer); })
         , m_random (std::hash<std::string>() (FLAGS_instance))
         , m_serviceMs (FLAGS_service_ms)
     {
@@ -271,7 +272,7 @@
         return at == std::string::npos ? std::string() : target.substr (at);
     }
 
-    void onCallDone (CallId call, const TargetClient::Answer& answer)
+    void onCallCompleted (CallId call, const TargetClient::Answer& answer)
     {
         const auto found = m_byCall.find (call);
 
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -309,7 +309,7 @@
     { "lost-memory", &Mechanisms::m_lostMemory, 50, 100 },
     { "fences-in-acknowledgement", &Mechanisms::m_fencesInAcknowledgement, 4100, 100 },
     { "transit-time", &Mechanisms::m_transitTime, 3035, 100 },
-    { "newcomers-must-be-asked", &Mechanisms::m_newcomersMustBeAsked, 865, 100 },
+    { "newcomers-must-be-asked", &Mechanisms::m_newMembersMustBeAsked, 865, 100 },
 };
 
 } // namespace
--- a/tests/platform/BadRecordsFuzz_test.cpp
+++ b/tests/platform/BadRecordsFuzz_test.cpp
@@ -3,7 +3,7 @@
    the same must be whole. */
 
 #include "plankledge_formats/PlatformJson.h"
-#include "plankledge_policy/relay/gate/OwnTarget.h"
+#include "plankledge_policy/relay/gate/LocalTarget.h"
 #include "plankledge_wire/FrameCodec.h"
 #include "platform/HttpDialect.h"
 #include "platform/RoutesJson.h"
@@ -209,7 +209,7 @@
             REQUIRE (organisation.m_limit.value_or (RequestLimit {}).m_burst >= 0.0);
 
             for (const auto& key : organisation.m_keys)
-                REQUIRE (*table->organisations().ofKey (key) == organisation);
+                REQUIRE (*table->organisations().findByKey (key) == organisation);
         }
     }
 }
@@ -244,8 +244,8 @@
         ProofAnswer { Milliseconds (5), 3, Milliseconds (9) },
         LimitQuestion { 7, "pulo780" },
         LimitAnswer { 7, LimitVerdict::beyond, Milliseconds (4) },
-        CrashNews { { { { { "node-1", 7 }, 3 }, Milliseconds (5), false, { 1, 2 } } },
-                    { { 7, Milliseconds (5) } } },
+        CrashUpdate { { { { { "node-1", 7 }, 3 }, Milliseconds (5), false, { 1, 2 } } },
+                      { { 7, Milliseconds (5) } } },
         CrashPull { 7 }
     };
 
--- a/tests/platform/RoutesJson_test.cpp
+++ b/tests/platform/RoutesJson_test.cpp
@@ -52,8 +52,8 @@
     CHECK (table->find ("a.example", "/a") == nullptr);
     CHECK (table->find ("a.example", "") == nullptr);
     CHECK (table->find ("b.example", "/a/x") == nullptr);
-    CHECK (table->placeOfPriority (0) == 0.0);
-    CHECK (table->placeOfPriority (2) == doctest::Approx (0.5));
+    CHECK (table->shedRankOfPriority (0) == 0.0);
+    CHECK (table->shedRankOfPriority (2) == doctest::Approx (0.5));
 }
 
 TEST_CASE ("what is not valid is refused whole")
@@ -100,10 +100,10 @@
     REQUIRE (table.ok());
     const auto& organisations = table->organisations();
     CHECK (organisations.areDeclared());
-    REQUIRE (organisations.ofKey ("k2") != nullptr);
-    CHECK (*organisations.ofKey ("k2") ==
+    REQUIRE (organisations.findByKey ("k2") != nullptr);
+    CHECK (*organisations.findByKey ("k2") ==
            Organisation { "one", 1, RequestLimit { 12.5, 4.0 }, { "k1", "k2" } });
-    CHECK (organisations.ofKey ("k") == nullptr);
+    CHECK (organisations.findByKey ("k") == nullptr);
     CHECK_FALSE (organisations.find ("two")->m_limit.has_value());
     CHECK (organisations.find ("three")->m_keys.empty());
     CHECK (table->find ("a.example", "/o/x")->m_isPublic);
--- a/tests/relay/RelayDecisions_test.cpp
+++ b/tests/relay/RelayDecisions_test.cpp
@@ -36,7 +36,7 @@
     const auto early = bare.send ("alone", "b", "/read/x");
     bare.run (Milliseconds (10));
     CHECK (bare.answers().at (early).m_result.m_reason == Reason::noConfiguration);
-    CHECK (bare.answers().at (early).m_result.m_comeBack > Duration::zero());
+    CHECK (bare.answers().at (early).m_result.m_retryAfter > Duration::zero());
     CHECK_FALSE (bare.reducer ("alone").relay().isReady());
 }
 
--- a/tests/relay/access/AccessCheck_test.cpp
+++ b/tests/relay/access/AccessCheck_test.cpp
@@ -64,12 +64,12 @@
     {
         CAPTURE (row.m_name);
         const auto route = routeOf (row.m_isPublic);
-        const auto access = judgeAccess (organisations, { route, row.m_credential, row.m_isProven });
+        const auto access = checkAccess (organisations, { route, row.m_credential, row.m_isProven });
 
         if (row.m_refused != Reason::none)
         {
-            REQUIRE (std::holds_alternative<AccessRefused> (access));
-            CHECK (std::get<AccessRefused> (access).m_reason == row.m_refused);
+            REQUIRE (std::holds_alternative<AccessDenied> (access));
+            CHECK (std::get<AccessDenied> (access).m_reason == row.m_refused);
         }
         else if (std::string_view (row.m_organisation).empty())
         {
@@ -87,7 +87,7 @@
 {
     const auto route = routeOf (false);
     const Credential malformed { CredentialKind::malformed, {} };
-    CHECK (judgeAccess ({}, { route, malformed, false }) == Access (OpenAccess {}));
+    CHECK (checkAccess ({}, { route, malformed, false }) == Access (OpenAccess {}));
 }
 
 TEST_CASE ("a declared but empty list of organisations requires keys")
@@ -95,8 +95,8 @@
     const auto route = routeOf (false);
     const Organisations noOrganisations { std::vector<Organisation> {} };
     const Credential key { CredentialKind::key, "key-1" };
-    CHECK (judgeAccess (noOrganisations, { route, key, true }) ==
-           Access (AccessRefused { Reason::keyUnknown }));
+    CHECK (checkAccess (noOrganisations, { route, key, true }) ==
+           Access (AccessDenied { Reason::keyUnknown }));
 }
 
 TEST_CASE ("organisation priority takes precedence over route priority")
@@ -116,7 +116,7 @@
     CHECK (table.priorityOf (search, council) < table.priorityOf (lodge, surveyors));
     CHECK (table.priorityOf (lodge, council) < table.priorityOf (search, council));
     CHECK (table.mostUrgentPriority() == table.priorityOf (lodge, council));
-    CHECK (table.placeOfPriority (table.priorityOf (search, surveyors)) == doctest::Approx (0.75));
+    CHECK (table.shedRankOfPriority (table.priorityOf (search, surveyors)) == doctest::Approx (0.75));
 
     const RouteTable without (1, hosts);
     CHECK (without.priorityOf (search, nullptr) == 2);
--- a/tests/relay/access/KeyGuard_test.cpp
+++ b/tests/relay/access/KeyGuard_test.cpp
@@ -192,7 +192,7 @@
         const auto& answer = fleet.answers().at (ticket).m_result;
         CHECK (answer.m_outcome == Outcome::notRun);
         CHECK (answer.m_reason == Reason::keyUnproven);
-        CHECK (answer.m_comeBack > Duration::zero());
+        CHECK (answer.m_retryAfter > Duration::zero());
         CHECK (fleet.runsOf (request.m_id).empty());
 
         const auto& open = fleet.m_public.at (partitioned.front()).back();
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashLedger_test.cpp
@@ -47,10 +47,10 @@
     CrashLedger ledger;
     ledger.learn (crash (1, { crashing, unrelated }), start);
     ledger.learn (crash (2, { crashing, unrelated }), start);
-    CHECK (ledger.judge (crashing, start).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::clear);
     ledger.learn (crash (3, { crashing }), start);
-    CHECK (ledger.judge (crashing, start).m_standing == Standing::held);
-    CHECK (ledger.judge (unrelated, start).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::held);
+    CHECK (ledger.holdStatus (unrelated, start).m_holdState == HoldState::clear);
     CHECK (ledger.held() == 1);
 }
 
@@ -60,7 +60,7 @@
     CHECK (ledger.learn (crash (1, { crashing }), start));
     CHECK (! ledger.learn (crash (1, { crashing }), start));
     CHECK (ledger.learn (crash (1, { crashing, unrelated }), start));
-    CHECK (ledger.judge (crashing, start).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::clear);
     CHECK (ledger.isSuspect (unrelated));
 }
 
@@ -68,9 +68,9 @@
 {
     auto ledger = ledgerAfter (3);
     CHECK (ledger.learn (withdrawal (1), start + seconds (3)));
-    CHECK (ledger.judge (crashing, start + seconds (3)).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
     CHECK (! ledger.learn (crash (1, { crashing }), start + seconds (3)));
-    CHECK (ledger.judge (crashing, start + seconds (3)).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
 }
 
 TEST_CASE ("completing a request clears it of earlier crashes, not of later ones")
@@ -78,7 +78,7 @@
     auto ledger = ledgerAfter (3);
     const auto now = start + seconds (10);
     CHECK (ledger.learn (CrashAcquittal { crashing, {} }, now));
-    CHECK (ledger.judge (crashing, now).m_standing == Standing::clear);
+    CHECK (ledger.holdStatus (crashing, now).m_holdState == HoldState::clear);
     CHECK (! ledger.isSuspect (crashing));
 
     // A delayed report of a crash before the acquittal.
@@ -88,7 +88,7 @@
     for (std::uint64_t number = 30; number < 33; ++number)
         ledger.learn (crash (number, { crashing }), now + seconds (1));
 
-    CHECK (ledger.judge (crashing, now + seconds (1)).m_standing == Standing::held);
+    CHECK (ledger.holdStatus (crashing, now + seconds (1)).m_holdState == HoldState::held);
 }
 
 TEST_CASE ("a hold ends in a trial, and each further crash doubles it up to the limit")
@@ -106,9 +106,9 @@
         const auto ledger = ledgerAfter (row.m_crashes);
         const auto newest = start + seconds (row.m_crashes - 1);
         const auto last = newest + row.m_hold;
-        CHECK (ledger.judge (crashing, newest) == HoldStatus { Standing::held, row.m_hold });
-        CHECK (ledger.judge (crashing, last - Duration (1)).m_standing == Standing::held);
-        CHECK (ledger.judge (crashing, last).m_standing == Standing::onTrial);
+        CHECK (ledger.holdStatus (crashing, newest) == HoldStatus { HoldState::held, row.m_hold });
+        CHECK (ledger.holdStatus (crashing, last - Duration (1)).m_holdState == HoldState::held);
+        CHECK (ledger.holdStatus (crashing, last).m_holdState == HoldState::onTrial);
     }
 }
 
@@ -183,7 +183,7 @@
         CHECK (one.digest() == other.digest());
 
         for (ContentDigest content = 1; content <= 3; ++content)
-            CHECK (one.judge (content, end) == other.judge (content, end));
+            CHECK (one.holdStatus (content, end) == other.holdStatus (content, end));
 
         // A node with an empty ledger that receives the complete one ends up with the same digest.
         CrashLedger third;
--- a/tests/relay/crashes/CrashWatch_test.cpp
+++ b/tests/relay/crashes/CrashWatch_test.cpp
@@ -32,10 +32,13 @@
         }
     }
 
-    void breakConnection (ContentDigest content) { m_watch.onBroken (content, m_now); }
+    void breakConnection (ContentDigest content) { m_watch.onConnectionBroken (content, m_now); }
     void answer (ContentDigest content) { m_watch.onAnswered (content, m_now); }
     void announce() { m_watch.onAnnounced (m_now); }
-    void restart (const std::vector<ContentDigest>& running = {}) { m_watch.onNewLife (running, m_now); }
+    void restart (const std::vector<ContentDigest>& running = {})
+    {
+        m_watch.onNewIncarnation (running, m_now);
+    }
 };
 
 using Suspects = std::vector<ContentDigest>;
@@ -69,7 +72,7 @@
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
           harness.breakConnection (second);
-          harness.m_watch.onRefusedConnection();
+          harness.m_watch.onConnectionRefused();
           harness.advance (window);
       },
       { first, second } },
@@ -101,7 +104,7 @@
     { "the new incarnation answers before it announces itself",
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
-          harness.m_watch.onRefusedConnection();
+          harness.m_watch.onConnectionRefused();
           harness.advance (window);
           harness.answer (second);
           harness.advance (window);
@@ -135,7 +138,7 @@
           harness.advance (std::chrono::seconds (1));
           harness.breakConnection (popular);
           harness.breakConnection (first);
-          harness.m_watch.onRefusedConnection();
+          harness.m_watch.onConnectionRefused();
           harness.advance (window);
       },
       { first } },
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -78,7 +78,7 @@
     const auto& result = site.answers().at (ticket).m_result;
     CHECK (result.m_outcome == Outcome::notRun);
     CHECK (result.m_reason == Reason::crashesTargets);
-    CHECK (result.m_comeBack > CrashLedger::initialHold - seconds (10));
+    CHECK (result.m_retryAfter > CrashLedger::initialHold - seconds (10));
     CHECK (site.runsOf ("asks").empty());
     CHECK (site.answers().at (other).m_result.m_reason != Reason::crashesTargets);
 }
@@ -144,7 +144,7 @@
         const auto isKnownTo = [&] (const InstanceName& name) {
             return site.reducer (name).relay().crashes().ledger().held() > 0;
         };
-        const auto before = site.crashNews();
+        const auto before = site.crashUpdates();
 
         while (site.crashes().size() < 3)
             site.runUnderLoad (Milliseconds (100), 10 * nodes, [&] { site.sendAnywhere (crashingPath); });
@@ -157,7 +157,7 @@
 
         CHECK (site.now() - third <= propagationLimit);
         MESSAGE (nodes, " nodes: known to all after ", toMilliseconds (site.now() - third), " ms, ",
-                 (site.crashNews() - before) / nodes, " messages per node for ", site.crashes().size(),
+                 (site.crashUpdates() - before) / nodes, " messages per node for ", site.crashes().size(),
                  " crashes");
     }
 }
--- a/tests/relay/entry/Admission_test.cpp
+++ b/tests/relay/entry/Admission_test.cpp
@@ -79,7 +79,7 @@
         refused += result.m_outcome == Outcome::notRun ? 1 : 0;
 
         if (result.m_outcome == Outcome::notRun)
-            CHECK (result.m_comeBack > Duration::zero());
+            CHECK (result.m_retryAfter > Duration::zero());
     }
 
     CHECK (refused > 30);
--- a/tests/relay/entry/EntryAdmission_test.cpp
+++ b/tests/relay/entry/EntryAdmission_test.cpp
@@ -35,12 +35,12 @@
         : m_peers (memberOf ("entry", "web"))
     {
         m_peers.learn (memberOf ("one", "archive"), PeerTable::Source::itself);
-        m_peers.find ("one")->m_isHeard = true;
+        m_peers.find ("one")->m_isReachable = true;
         m_peers.onGate ("one", { true, 20, 0, {}, 0, levelPermille }, {});
         m_peers.onRouteTime ("one", { "log", Milliseconds (480) });
         m_peers.onRouteTime ("one", { "urgent", Milliseconds (480) });
         m_peers.onRouteTime ("one", { "fetch", Milliseconds (30) });
-        m_calls.onPeerEdges ("two", { { "status", "fetch", "archive", 4000 } });
+        m_calls.setPeerEdges ("two", { { "status", "fetch", "archive", 4000 } });
 
         RouteTable::Hosts hosts;
         hosts["host"] = { { "/urgent/", routeTo ("urgent", "archive", 0) },
--- a/tests/relay/entry/Retries_test.cpp
+++ b/tests/relay/entry/Retries_test.cpp
@@ -109,7 +109,7 @@
         rig.add (name, "plans");
 
     auto route = makeRoute ("read", "plans");
-    route.m_mostAttempts = 2;
+    route.m_maxAttempts = 2;
     rig.publish (makeTable (1, { route }));
     rig.run (Milliseconds (100));
 
--- a/tests/relay/gate/OwnTarget_test.cpp
+++ b/tests/relay/gate/LocalTarget_test.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/gate/OwnTarget.h"
+#include "plankledge_policy/relay/gate/LocalTarget.h"
 
 #include <doctest/doctest.h>
 
@@ -138,7 +138,7 @@
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
-        OwnTarget target (announcementPeriod);
+        LocalTarget target (announcementPeriod);
         const Time now { std::chrono::hours (1) };
 
         for (const auto& announcement : row.m_announcements)
@@ -151,7 +151,7 @@
 
 TEST_CASE ("a silent target is not served until it is announced again")
 {
-    OwnTarget target (announcementPeriod);
+    LocalTarget target (announcementPeriod);
     Time now { std::chrono::hours (1) };
     target.onAnnounced (announced ("a", AnnouncedState::serving, 1), now);
     now += announcementPeriod * 2;
@@ -165,19 +165,19 @@
 TEST_CASE (
     "a target restarted under its id has new slots and a new address, and its sequence numbers start over")
 {
-    OwnTarget target (announcementPeriod);
+    LocalTarget target (announcementPeriod);
     const Time now { std::chrono::hours (1) };
     target.onAnnounced (announcedWithStart (100, "a", AnnouncedState::serving, 50), now);
     auto again = announcedWithStart (200, "a", AnnouncedState::serving, 1);
     again.m_endpoint.m_port = 9090;
     again.m_slots = 60;
-    CHECK (target.onAnnounced (again, now) == OwnTarget::Change::restarted);
+    CHECK (target.onAnnounced (again, now) == LocalTarget::Change::restarted);
     CHECK (target.endpoint().m_port == 9090);
     CHECK (target.slots() == 60);
 
     // Late announcements of the earlier incarnation, whatever their sequence number.
     CHECK (target.onAnnounced (announcedWithStart (100, "a", AnnouncedState::serving, 99), now) ==
-           OwnTarget::Change::none);
+           LocalTarget::Change::none);
     CHECK (target.slots() == 60);
     again.m_sequence = 2;
     again.m_slots = 61;
@@ -187,7 +187,7 @@
 
 TEST_CASE ("a target that was replaced by a stray announcement is served again once the other one is silent")
 {
-    OwnTarget target (announcementPeriod);
+    LocalTarget target (announcementPeriod);
     Time now { std::chrono::hours (1) };
     target.onAnnounced (announced ("a", AnnouncedState::serving, 1), now);
     target.onAnnounced (announced ("stray", AnnouncedState::serving, 1), now);
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -251,7 +251,7 @@
         fleet.run (seconds (1));
         const auto& last = fleet.answers().at (fleet.m_sent.at ("large").back().m_ticket);
         CHECK (last.m_result.m_outcome == Outcome::notRun);
-        CHECK (last.m_result.m_comeBack > Duration::zero());
+        CHECK (last.m_result.m_retryAfter > Duration::zero());
     }
 }
 
--- a/tests/relay/peers/PeerContacts_test.cpp
+++ b/tests/relay/peers/PeerContacts_test.cpp
@@ -130,17 +130,17 @@
 
     for (const auto& name : before)
     {
-        view.m_peers.onAsked (name, start);
+        view.m_peers.onHelloSent (name, start);
 
         if (name != gone)
-            view.m_peers.onHeard ({ name, 1 }, later);
+            view.m_peers.onFrameReceived ({ name, 1 }, later);
     }
 
     const auto after = view.subsetAt (later);
     CHECK (after.size() == before.size() + 1); // the unreachable peer is still contacted
     CHECK (after.contains (gone));
 
-    view.m_peers.onHeard ({ gone, 1 }, later);
+    view.m_peers.onFrameReceived ({ gone, 1 }, later);
     CHECK (view.subsetAt (later) == before);
 }
 
--- a/tests/relay/peers/PeerTable_test.cpp
+++ b/tests/relay/peers/PeerTable_test.cpp
@@ -26,7 +26,7 @@
     void addServing (const std::string& name, const std::string& ip)
     {
         learn (makeMember (name, ip), Source::store);
-        onHeard ({ name, 1 }, start);
+        onFrameReceived ({ name, 1 }, start);
         onGate (name, { true, 20, 0, {}, 0, 1000 }, start);
     }
 };
@@ -63,7 +63,7 @@
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
-    CHECK (table.takingWork ("plans").size() == 1);
+    CHECK (table.acceptingRequests ("plans").size() == 1);
     table.learn (makeMember ("one", "10.0.0.2", "other"), PeerTable::Source::itself);
     CHECK (table.ofService ("plans").empty());
     CHECK (table.ofService ("other").size() == 1);
@@ -84,23 +84,23 @@
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
-    CHECK (table.takeSilent (start + std::chrono::seconds (1)).empty());
-    table.onAsked ("one", start + std::chrono::seconds (1));
-    CHECK (table.takeSilent (start + Milliseconds (1500)).empty());
-    CHECK (table.takeSilent (start + Milliseconds (1700)).size() == 1);
-    CHECK (table.takingWork ("plans").empty());
-    CHECK (table.onHeard ({ "one", 1 }, start + Milliseconds (1800)));
-    CHECK (table.takingWork ("plans").size() == 1);
+    CHECK (table.takeNewlyUnreachable (start + std::chrono::seconds (1)).empty());
+    table.onHelloSent ("one", start + std::chrono::seconds (1));
+    CHECK (table.takeNewlyUnreachable (start + Milliseconds (1500)).empty());
+    CHECK (table.takeNewlyUnreachable (start + Milliseconds (1700)).size() == 1);
+    CHECK (table.acceptingRequests ("plans").empty());
+    CHECK (table.onFrameReceived ({ "one", 1 }, start + Milliseconds (1800)));
+    CHECK (table.acceptingRequests ("plans").size() == 1);
 }
 
 TEST_CASE ("a pause of this process restarts the timeout of unanswered hellos")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
-    table.onAsked ("one", start);
+    table.onHelloSent ("one", start);
     table.onPause (start + std::chrono::seconds (5));
-    CHECK (table.takeSilent (start + Milliseconds (5500)).empty());
-    CHECK (table.takeSilent (start + Milliseconds (5700)).size() == 1);
+    CHECK (table.takeNewlyUnreachable (start + Milliseconds (5500)).empty());
+    CHECK (table.takeNewlyUnreachable (start + Milliseconds (5700)).size() == 1);
 }
 
 TEST_CASE ("route durations are the latest received, and the expected wait depends on the route")
--- a/tests/relay/routes/CallGraph_test.cpp
+++ b/tests/relay/routes/CallGraph_test.cpp
@@ -39,10 +39,10 @@
 TEST_CASE ("demand includes transitive calls and averages the edges reported by peers")
 {
     CallGraph graph;
-    graph.onPeerEdges ("one", { { "search", "status", "lodgement", 1000 } });
-    graph.onPeerEdges ("two", { { "status", "tile", "plans", 2000 } });
-    graph.onPeerEdges ("three", { { "tile", "lookup", "corrections", 4000 } });
-    graph.onPeerEdges ("four", { { "tile", "lookup", "corrections", 2000 } });
+    graph.setPeerEdges ("one", { { "search", "status", "lodgement", 1000 } });
+    graph.setPeerEdges ("two", { { "status", "tile", "plans", 2000 } });
+    graph.setPeerEdges ("three", { { "tile", "lookup", "corrections", 4000 } });
+    graph.setPeerEdges ("four", { { "tile", "lookup", "corrections", 2000 } });
     const auto demand = graph.demandOf ("search");
     CHECK (demand.at ("lodgement") == doctest::Approx (1.0));
     CHECK (demand.at ("plans") == doctest::Approx (2.0));
@@ -56,7 +56,7 @@
 TEST_CASE ("cyclic calls terminate")
 {
     CallGraph graph;
-    graph.onPeerEdges ("one", { { "a", "b", "one", 1000 }, { "b", "a", "two", 1000 } });
+    graph.setPeerEdges ("one", { { "a", "b", "one", 1000 }, { "b", "a", "two", 1000 } });
     CHECK (graph.demandOf ("a").size() == 2);
 }
 
--- a/tests/runtime/SuspendedMachine_test.cpp
+++ b/tests/runtime/SuspendedMachine_test.cpp
@@ -116,7 +116,7 @@
 
     clock.m_ahead = suspension;
     context.run_for (std::chrono::milliseconds (150));
-    CHECK (node.reducer().counters().m_wakes == 1);
+    CHECK (node.reducer().counters().m_detectedPauses == 1);
     REQUIRE (answer.has_value());
     CHECK (answer->m_result.m_outcome == Outcome::notRun);
 }
--- a/tests/soak/SoakTarget.cpp
+++ b/tests/soak/SoakTarget.cpp
@@ -74,8 +74,8 @@
                           },
                            [] (HttpServerError) { return HttpResponse(); } })
     , m_announcer (context)
-    , m_outbound (context,
-                  [this] (CallId call, const TargetClient::Answer& answer) { onCallDone (call, answer); })
+    , m_outbound (context, [this] (CallId call,
+                                   const TargetClient::Answer& answer) { onCallCompleted (call, answer); })
     , m_announceTimer (context)
     , m_lifeTimer (context)
 {
@@ -164,7 +164,7 @@
     m_outbound.send (job->m_call, m_options.m_outbound, std::move (call));
 }
 
-void SoakTarget::onCallDone (CallId call, const TargetClient::Answer& answer)
+void SoakTarget::onCallCompleted (CallId call, const TargetClient::Answer& answer)
 {
     const auto node = m_calling.extract (call);
 
--- a/tests/soak/SoakTarget.h
+++ b/tests/soak/SoakTarget.h
@@ -65,7 +65,7 @@
     std::function<void()> onRequest (const HttpRequest& request, const HttpServer::Respond& respond);
     void work (const std::shared_ptr<Job>& job);
     void callNext (const std::shared_ptr<Job>& job);
-    void onCallDone (CallId call, const TargetClient::Answer& answer);
+    void onCallCompleted (CallId call, const TargetClient::Answer& answer);
     void finish (const std::shared_ptr<Job>& job, int status);
     void beginLife();
     void announce();
--- a/tests/support/RelayRig.cpp
+++ b/tests/support/RelayRig.cpp
@@ -190,7 +190,7 @@
 
 void RelayRig::close (const InstanceName& instance, Ticket ticket)
 {
-    deliver (instance, RequesterGone { ticket }, Duration::zero());
+    deliver (instance, CallerDisconnected { ticket }, Duration::zero());
 }
 
 void RelayRig::reply (const InstanceName& instance, CallId call, TargetReplyKind kind, Duration after,
@@ -269,7 +269,7 @@
 {
     const auto& to = effect.m_instance;
     const auto found = m_hosts.find (to);
-    m_crashNews += std::holds_alternative<CrashNews> (effect.m_message) ? 1 : 0;
+    m_crashNews += std::holds_alternative<CrashUpdate> (effect.m_message) ? 1 : 0;
     m_hellos += std::holds_alternative<PeerHello> (effect.m_message) ? 1 : 0;
 
     if (isCut (from, to))
@@ -311,7 +311,7 @@
     m_hosts.at (from).m_target (*this, from, effect);
 }
 
-void RelayRig::carryOut (const InstanceName& from, const AbandonTarget& effect)
+void RelayRig::carryOut (const InstanceName& from, const CancelTargetCall& effect)
 {
     for (auto& run : m_runs)
         if (run.m_instance == from && run.m_dispatch.m_call == effect.m_call)
--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -124,8 +124,8 @@
     const std::vector<Run>& runs() const noexcept { return m_runs; }
     std::vector<Run> runsOf (const std::string& id) const;
     const Reducer& reducer (const InstanceName& instance) const { return *m_hosts.at (instance).m_reducer; }
-    std::uint64_t hellos() const noexcept { return m_hellos; }       /**< sent by all nodes so far */
-    std::uint64_t crashNews() const noexcept { return m_crashNews; } /**< the same of news of crashes */
+    std::uint64_t hellos() const noexcept { return m_hellos; }          /**< sent by all nodes so far */
+    std::uint64_t crashUpdates() const noexcept { return m_crashNews; } /**< the same of news of crashes */
     bool hasExited (const InstanceName& instance) const { return m_hosts.at (instance).m_hasExited; }
     Time now() const noexcept { return m_now; }
 
@@ -172,7 +172,7 @@
     void carryOut (const InstanceName& from, const ReplyOnLink& effect);
     void carryOut (const InstanceName& from, const AnswerRelay& effect);
     void carryOut (const InstanceName& from, const RelayToTarget& effect);
-    void carryOut (const InstanceName& from, const AbandonTarget& effect);
+    void carryOut (const InstanceName& from, const CancelTargetCall& effect);
     void carryOut (const InstanceName& from, const Exit& effect);
     void carryOut (const InstanceName& from, const DropTargetConnections&)
     {
--- a/tests/support/Rig.h
+++ b/tests/support/Rig.h
@@ -157,7 +157,7 @@
     void carryOut (Host& host, const ReplyOnLink& effect);
     void carryOut (Host& host, const SendRumour& effect);
     void carryOut (Host& host, const DispatchToTarget& effect);
-    void carryOut (Host&, const AbandonTarget&) {}
+    void carryOut (Host&, const CancelTargetCall&) {}
     void carryOut (Host& host, const FetchList& effect);
     void carryOut (Host& host, const ReadLog& effect);
     void carryOut (Host& host, const AppendJoin& effect);
