--- a/modules/plankledge_policy/configuration/ConfigurationJudge.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationJudge.cpp
@@ -9,22 +9,22 @@
 namespace
 {
 
-constexpr std::size_t mostWaiting = 1000;
+constexpr std::size_t maxPendingProposals = 1000;
 
 } // namespace
 
 //==============================================================================
 std::vector<JudgedProposal> ConfigurationJudge::apply (const ConfigurationRead& read)
 {
-    std::vector<JudgedProposal> judged;
+    std::vector<JudgedProposal> decided;
 
     if (read.m_from != m_next || read.m_next < read.m_from)
-        return judged;
+        return decided;
 
     if (read.m_earliest > m_next)
     {
         m_coveredFrom = read.m_earliest;
-        m_waiting.clear();
+        m_pendingProposals.clear();
     }
 
     for (const auto& record : read.m_records)
@@ -32,62 +32,62 @@
         if (record.m_offset < m_next || record.m_offset <= m_state.m_asOfOffset)
             continue;
 
-        m_next = record.m_offset; // all before it were seen
-        take (record, judged);
+        m_next = record.m_offset; // all records before it were read
+        applyRecord (record, decided);
     }
 
     m_next = std::max (m_next, read.m_next);
-    judgeWaiting (judged);
+    decidePending (decided);
 
     if (canJudge())
         m_state.m_asOfOffset = std::max (m_state.m_asOfOffset, m_next - 1);
 
-    return judged;
+    return decided;
 }
 
-void ConfigurationJudge::take (const ConfigurationRecord& record, std::vector<JudgedProposal>& judged)
+void ConfigurationJudge::applyRecord (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided)
 {
     if (record.m_kind == ConfigurationRecordKind::checkpoint)
     {
-        takeCheckpoint (record, judged);
+        applyCheckpoint (record, decided);
         return;
     }
 
-    if (m_waiting.size() < mostWaiting)
-        m_waiting.push_back (record);
+    if (m_pendingProposals.size() < maxPendingProposals)
+        m_pendingProposals.push_back (record);
 
-    judgeWaiting (judged);
+    decidePending (decided);
 }
 
-void ConfigurationJudge::takeCheckpoint (const ConfigurationRecord& record,
-                                         std::vector<JudgedProposal>& judged)
+void ConfigurationJudge::applyCheckpoint (const ConfigurationRecord& record,
+                                          std::vector<JudgedProposal>& decided)
 {
     if (record.m_version >= m_state.m_version)
-        m_lastRestated = record.m_offset;
+        m_lastRestatement = record.m_offset;
 
-    const bool coversTheGap = record.m_asOfOffset + 1 >= m_coveredFrom;
+    const bool coversGap = record.m_asOfOffset + 1 >= m_coveredFrom;
 
-    if (! coversTheGap || record.m_asOfOffset <= m_state.m_asOfOffset)
+    if (! coversGap || record.m_asOfOffset <= m_state.m_asOfOffset)
         return;
 
-    if (! bringInForce ({ record.m_version, record.m_asOfOffset, record.m_text }) &&
+    if (! putInForce ({ record.m_version, record.m_asOfOffset, record.m_text }) &&
         record.m_version == m_state.m_version)
         m_state.m_asOfOffset = record.m_asOfOffset;
 
-    judgeWaiting (judged);
+    decidePending (decided);
 }
 
-void ConfigurationJudge::judgeWaiting (std::vector<JudgedProposal>& judged)
+void ConfigurationJudge::decidePending (std::vector<JudgedProposal>& decided)
 {
     if (! canJudge())
         return;
 
-    for (const auto& proposal : std::exchange (m_waiting, {}))
+    for (const auto& proposal : std::exchange (m_pendingProposals, {}))
         if (proposal.m_offset > m_state.m_asOfOffset)
-            judged.push_back (judge (proposal));
+            decided.push_back (decideProposal (proposal));
 }
 
-JudgedProposal ConfigurationJudge::judge (const ConfigurationRecord& proposal)
+JudgedProposal ConfigurationJudge::decideProposal (const ConfigurationRecord& proposal)
 {
     m_state.m_asOfOffset = proposal.m_offset;
 
@@ -101,26 +101,26 @@
 
     m_declarations = *std::move (declarations);
     m_state = { proposal.m_version + 1, proposal.m_offset, proposal.m_text };
-    m_lastRestated = proposal.m_offset;
+    m_lastRestatement = proposal.m_offset;
     return { proposal.m_id, Verdict::accepted, m_state.m_version };
 }
 
 bool ConfigurationJudge::adopt (const ConfigurationState& state)
 {
     const auto before = m_state.m_version;
-    bringInForce (state);
+    putInForce (state);
 
-    // Proposals that were read before may be judged by now.
-    std::vector<JudgedProposal> judged;
-    judgeWaiting (judged);
+    // The new state may allow decisions on pending proposals.
+    std::vector<JudgedProposal> decided;
+    decidePending (decided);
     return m_state.m_version > before;
 }
 
-bool ConfigurationJudge::bringInForce (const ConfigurationState& state)
+bool ConfigurationJudge::putInForce (const ConfigurationState& state)
 {
     if (state.m_version == m_state.m_version && ! canJudge())
     {
-        // The same version, known further into the log than here: the gap does not matter any more.
+        // The same version at a later offset: this node's gap no longer matters.
         if (state.m_asOfOffset + 1 >= m_coveredFrom)
             m_state.m_asOfOffset = state.m_asOfOffset;
 
@@ -142,7 +142,7 @@
     {
         m_next = state.m_asOfOffset + 1;
         m_coveredFrom = m_next;
-        m_waiting.clear();
+        m_pendingProposals.clear();
     }
 
     return true;
--- a/modules/plankledge_policy/configuration/ConfigurationJudge.h
+++ b/modules/plankledge_policy/configuration/ConfigurationJudge.h
@@ -7,33 +7,33 @@
 namespace plankledge
 {
 
-/** What came of a proposal, by log order alone. */
+/** The verdict on a proposal, which depends on the order of the log only. */
 enum class Verdict : std::uint8_t
 {
     accepted,
-    conflict, /**< its base was not the version in force at its place in the log */
+    conflict, /**< its base version was not in force at its offset in the log */
     invalid   /**< its text is not a valid set of declarations */
 };
 
-/** One proposal's verdict. */
+/** A proposal and its verdict. */
 struct JudgedProposal
 {
     std::string m_id;
     Verdict m_verdict = Verdict::conflict;
-    ConfigurationVersion m_version = 0; /**< in force after it */
+    ConfigurationVersion m_version = 0; /**< version in force after the proposal */
 
     auto operator<=> (const JudgedProposal&) const = default;
 };
 
 //==============================================================================
 /**
-    Judges the configuration stream: a proposal is accepted if and only if its
-    base is the version in force at its place in the log.
+    Replicated state machine over the configuration stream. A proposal is accepted if
+    and only if its base version is in force at its offset in the log and its text is
+    valid.
 
-    All readers of the same records come to the same verdicts. A reader that
-    misses the start of the stream keeps proposals unjudged until a checkpoint or a
-    peer's state tells it what was in force before them. The version never goes
-    down.
+    All readers of the same records reach the same verdicts. A reader that misses the
+    start of the stream keeps proposals pending until a checkpoint or a peer's state
+    closes the gap. The version never decreases.
 */
 class ConfigurationJudge
 {
@@ -44,19 +44,19 @@
     {
     }
 
-    /** Takes in part of the stream.
+    /** Applies records read from the stream; ignores a read that does not start at nextOffset().
 
-        @returns the verdicts that this made possible, in log order
+        @returns the verdicts that became possible, in log order
     */
     std::vector<JudgedProposal> apply (const ConfigurationRead& read);
 
-    /** Takes in a peer's state.
+    /** Applies a peer's state.
 
-        @returns whether it brought a higher version into force here
+        @returns whether a higher version came into force on this node
     */
     bool adopt (const ConfigurationState& state);
 
-    /** @returns the version in force, its text, and the last offset taken into account */
+    /** @returns the version in force, its text, and the offset of the last record applied */
     const ConfigurationState& state() const noexcept { return m_state; }
 
     const Declarations& declarations() const noexcept { return m_declarations; }
@@ -64,27 +64,27 @@
     /** @returns the offset to read from next */
     LogOffset nextOffset() const noexcept { return m_next; }
 
-    /** @returns the offset of the newest record that restates the version in force; -1: none seen */
-    LogOffset lastRestated() const noexcept { return m_lastRestated; }
+    /** @returns the offset of the last record that holds the version in force; -1 if none was read */
+    LogOffset lastRestatement() const noexcept { return m_lastRestatement; }
 
-    /** @returns whether all records after the state's offset were seen */
+    /** @returns whether all records after the state's offset have been read */
     bool canJudge() const noexcept { return m_state.m_asOfOffset + 1 >= m_coveredFrom; }
 
 private:
     //==============================================================================
-    bool bringInForce (const ConfigurationState& state);
-    void take (const ConfigurationRecord& record, std::vector<JudgedProposal>& judged);
-    void takeCheckpoint (const ConfigurationRecord& record, std::vector<JudgedProposal>& judged);
-    void judgeWaiting (std::vector<JudgedProposal>& judged);
-    JudgedProposal judge (const ConfigurationRecord& proposal);
+    bool putInForce (const ConfigurationState& state);
+    void applyRecord (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided);
+    void applyCheckpoint (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided);
+    void decidePending (std::vector<JudgedProposal>& decided);
+    JudgedProposal decideProposal (const ConfigurationRecord& proposal);
 
     DeclarationsParser m_parser;
     ConfigurationState m_state;
     Declarations m_declarations;
     LogOffset m_next = 0;
-    LogOffset m_coveredFrom = 0; /**< all records from here up to m_next were seen */
-    LogOffset m_lastRestated = -1;
-    std::vector<ConfigurationRecord> m_waiting; /**< proposals that can't be judged yet */
+    LogOffset m_coveredFrom = 0; /**< all records from here up to m_next were read */
+    LogOffset m_lastRestatement = -1;
+    std::vector<ConfigurationRecord> m_pendingProposals; /**< kept until there is no gap before them */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/configuration/ConfigurationSync.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.cpp
@@ -8,15 +8,16 @@
 namespace
 {
 
-constexpr Duration pollTimePerMember = Milliseconds (20); // so that all nodes together poll 50 times a second
-constexpr Duration pullPause = Milliseconds (300);
+constexpr Duration pollIntervalPerMember =
+    Milliseconds (20); // limits the whole cluster to 50 polls per second
+constexpr Duration minPullInterval = Milliseconds (300);
 
 } // namespace
 
 //==============================================================================
-ConfigurationSync::ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> inForce)
+ConfigurationSync::ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> onInForce)
     : m_judge (std::move (parser))
-    , m_inForce (std::move (inForce))
+    , m_onInForce (std::move (onInForce))
 {
 }
 
@@ -29,7 +30,7 @@
 
 void ConfigurationSync::onPollTime (Turn& turn, std::size_t clusterSize)
 {
-    const auto scaled = pollTimePerMember * static_cast<Duration::rep> (clusterSize);
+    const auto scaled = pollIntervalPerMember * static_cast<Duration::rep> (clusterSize);
     const auto period = std::max (turn.settings().m_logPeriod, scaled);
     turn.emit (ReadLog { LogStream::configuration, m_judge.nextOffset() });
     turn.timers().set (turn.now() + period / 2 + turn.jittered (period / 2) / 2, TimerKind::logPoll);
@@ -39,56 +40,56 @@
 {
     const auto before = version();
 
-    for (const auto& judged : m_judge.apply (read))
+    for (const auto& decided : m_judge.apply (read))
     {
-        if (judged.m_verdict == Verdict::conflict)
-            turn.emit (WriteLog { Notice::configurationConflict, judged.m_id,
-                                  static_cast<std::int64_t> (judged.m_version) });
+        if (decided.m_verdict == Verdict::conflict)
+            turn.emit (WriteLog { Notice::configurationConflict, decided.m_id,
+                                  static_cast<std::int64_t> (decided.m_version) });
 
-        if (judged.m_verdict == Verdict::invalid)
+        if (decided.m_verdict == Verdict::invalid)
         {
             ++turn.counters().m_invalidConfigurations;
-            turn.emit (WriteLog { Notice::configurationInvalid, judged.m_id, 0 });
+            turn.emit (WriteLog { Notice::configurationInvalid, decided.m_id, 0 });
         }
     }
 
-    announce (turn, before);
+    notifyIfChanged (turn, before);
 }
 
-void ConfigurationSync::announce (Turn& turn, ConfigurationVersion before)
+void ConfigurationSync::notifyIfChanged (Turn& turn, ConfigurationVersion before)
 {
     if (version() == before)
         return;
 
     turn.emit (WriteLog { Notice::configurationInForce, {}, static_cast<std::int64_t> (version()) });
-    m_inForce (turn);
+    m_onInForce (turn);
 }
 
 //==============================================================================
 void ConfigurationSync::scheduleCheckpoint (Turn& turn)
 {
-    m_restatedAtSchedule = m_judge.lastRestated();
+    m_restatementAtSchedule = m_judge.lastRestatement();
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_checkpointPeriod),
                        TimerKind::checkpoint);
 }
 
 void ConfigurationSync::onCheckpointTime (Turn& turn)
 {
-    const bool someoneDid = m_judge.lastRestated() > m_restatedAtSchedule;
+    const bool wasRestated = m_judge.lastRestatement() > m_restatementAtSchedule;
 
-    if (! someoneDid && version() > 0 && m_judge.canJudge())
+    if (! wasRestated && version() > 0 && m_judge.canJudge())
         turn.emit (AppendCheckpoint { m_judge.state() });
 
     scheduleCheckpoint (turn);
 }
 
 //==============================================================================
-void ConfigurationSync::onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion theirs)
+void ConfigurationSync::onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion peerVersion)
 {
-    if (theirs <= version() || turn.now() < m_nextPull)
+    if (peerVersion <= version() || turn.now() < m_nextPull)
         return;
 
-    m_nextPull = turn.now() + pullPause;
+    m_nextPull = turn.now() + minPullInterval;
     turn.emit (SendToPeer { peer.m_id.m_instance, peer.m_endpoint, ConfigurationPull { version() } });
 }
 
@@ -103,7 +104,7 @@
 {
     const auto before = version();
     m_judge.adopt (state);
-    announce (turn, before);
+    notifyIfChanged (turn, before);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/configuration/ConfigurationSync.h
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.h
@@ -10,25 +10,25 @@
 
 //==============================================================================
 /**
-    Keeps this node's declarations up to date: from the log, and from any peer that
-    says it has a higher version, which works while the log is down.
+    Keeps this node's declarations up to date, from the log and from peers that report
+    a higher version, so that updates spread even while the log is unavailable.
 
-    Now and then some node re-appends the version in force, so that it outlives the
-    log's retention.
+    The nodes periodically append a checkpoint of the version in force, so that it
+    outlives the log's retention.
 */
 class ConfigurationSync
 {
 public:
     //==============================================================================
-    /** @param inForce   called when a higher version has come into force here */
-    ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> inForce);
+    /** @param onInForce   called when a higher version has come into force on this node */
+    ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> onInForce);
 
     void start (Turn& turn);
     void onRead (Turn& turn, const ConfigurationRead& read);
     void onPollTime (Turn& turn, std::size_t clusterSize);
     void onCheckpointTime (Turn& turn);
 
-    /** A peer said which version it has. */
+    /** Pulls the state of a peer that has reported a higher version. */
     void onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion version);
 
     void onPull (Turn& turn, LinkId link, const NodeId& from, const ConfigurationPull& pull) const;
@@ -36,7 +36,7 @@
 
     ConfigurationVersion version() const noexcept { return m_judge.state().m_version; }
 
-    /** @returns the declarations in force; nullptr where there are none yet */
+    /** @returns the declarations in force, or nullptr if there are none */
     const Declarations* declarations() const noexcept
     {
         return version() > 0 ? &m_judge.declarations() : nullptr;
@@ -46,13 +46,13 @@
 
 private:
     //==============================================================================
-    void announce (Turn& turn, ConfigurationVersion before);
+    void notifyIfChanged (Turn& turn, ConfigurationVersion before);
     void scheduleCheckpoint (Turn& turn);
 
     ConfigurationJudge m_judge;
-    std::function<void (Turn&)> m_inForce;
+    std::function<void (Turn&)> m_onInForce;
     Time m_nextPull;
-    LogOffset m_restatedAtSchedule = -1;
+    LogOffset m_restatementAtSchedule = -1;
 };
 
 } // namespace plankledge
