--- a/modules/plankledge_policy/calls/InboundCall.h
+++ b/modules/plankledge_policy/calls/InboundCall.h
@@ -10,7 +10,7 @@
 namespace plankledge
 {
 
-/** Who waits for a call: a caller node, or this node itself (link 0). */
+/** The origin of a call that waits for its result: a peer node, or this node itself (link 0). */
 struct Origin
 {
     LinkId m_link = 0;
@@ -23,7 +23,7 @@
 namespace detail
 {
 
-/** A call that this node runs or may run at its own target, from its arrival to its answer. */
+/** A call to the local target, from its arrival to its answer. */
 struct InboundCall
 {
     enum class Stage : std::uint8_t
@@ -34,18 +34,18 @@
     };
 
     CallRequest m_request;
-    std::vector<Origin> m_waiters; /**< the first one granted the retry budget */
+    std::vector<Origin> m_waiters; /**< unused retries are returned to the first one, which granted them */
     RetryBudget m_budget;
     Stage m_stage = Stage::queued;
     bool m_isRepeatable = true;
-    std::string m_key;       /**< scoped by service and operation; empty where repeatable */
-    Duration m_retention {}; /**< of its record */
+    std::string m_key;       /**< idempotency key, see scopedKey; empty if repeatable */
+    Duration m_retention {}; /**< of the idempotency record */
     Time m_deadline;
     Time m_queuedAt;
     Time m_dispatchedAt;
-    std::uint32_t m_children = 0;
-    Duration m_childComeBack {};
-    std::string m_requestId; /**< that the target repeats on the calls which it makes */
+    std::uint32_t m_children = 0; /**< calls that the target made on its behalf */
+    Duration m_maxChildRetryAfter {};
+    std::string m_requestId; /**< sent to the target, which copies it to its nested calls */
 };
 
 } // namespace detail
--- a/modules/plankledge_policy/calls/InboundCallTable.cpp
+++ b/modules/plankledge_policy/calls/InboundCallTable.cpp
@@ -27,19 +27,19 @@
     return found == m_calls.end() ? nullptr : &found->second;
 }
 
-std::optional<CallId> InboundCallTable::waitedForBy (const Origin& origin) const noexcept
+std::optional<CallId> InboundCallTable::findByOrigin (const Origin& origin) const noexcept
 {
     const auto found = m_byOrigin.find (origin);
     return found == m_byOrigin.end() ? std::nullopt : std::optional (found->second);
 }
 
-std::optional<CallId> InboundCallTable::withRequestId (const std::string& requestId) const noexcept
+std::optional<CallId> InboundCallTable::findByRequestId (const std::string& requestId) const noexcept
 {
     const auto found = m_byRequestId.find (requestId);
     return found == m_byRequestId.end() ? std::nullopt : std::optional (found->second);
 }
 
-std::vector<Origin> InboundCallTable::originsOf (LinkId link) const
+std::vector<Origin> InboundCallTable::originsOnLink (LinkId link) const
 {
     std::vector<Origin> origins;
 
@@ -50,7 +50,7 @@
     return origins;
 }
 
-std::vector<CallId> InboundCallTable::inquiringFor (const std::set<std::uint64_t>& keyHashes) const
+std::vector<CallId> InboundCallTable::inquiringCalls (const std::set<std::uint64_t>& keyHashes) const
 {
     std::vector<CallId> result;
 
--- a/modules/plankledge_policy/calls/InboundCallTable.h
+++ b/modules/plankledge_policy/calls/InboundCallTable.h
@@ -11,8 +11,8 @@
 
 //==============================================================================
 /**
-    The calls that this node runs or may run, found by their number, by who waits for them and by the request
-   id that their target was given.
+    The calls to the local target that have no result yet, indexed by call id, by origin and by the request id
+    that was sent to the target.
 
     @see InboundCalls
 */
@@ -20,40 +20,44 @@
 {
 public:
     //==============================================================================
-    /** @param incarnation   of this node; makes request ids differ between its lives */
+    /** Adds a call and assigns its request id.
+
+        @param incarnation   of this node; makes request ids unique across restarts
+        @returns the id of the call
+    */
     CallId add (InboundCall call, std::uint64_t incarnation);
 
     InboundCall* find (CallId id) noexcept;
     InboundCall& at (CallId id) { return m_calls.at (id); }
 
-    /** @returns the call that somebody waits for, or nullopt */
-    std::optional<CallId> waitedForBy (const Origin& origin) const noexcept;
+    /** @returns the call that the origin waits for, or nullopt */
+    std::optional<CallId> findByOrigin (const Origin& origin) const noexcept;
 
-    /** @returns the call whose target was given this request id, or nullopt */
-    std::optional<CallId> withRequestId (const std::string& requestId) const noexcept;
+    /** @returns the call that was sent to the target with this request id, or nullopt */
+    std::optional<CallId> findByRequestId (const std::string& requestId) const noexcept;
 
-    /** @returns all who wait over a connection */
-    std::vector<Origin> originsOf (LinkId link) const;
+    /** @returns the origins that wait over a connection */
+    std::vector<Origin> originsOnLink (LinkId link) const;
 
-    /** @returns the calls that others are asked about, for keys with these hashes */
-    std::vector<CallId> inquiringFor (const std::set<std::uint64_t>& keyHashes) const;
+    /** @returns the calls with a pending inquiry whose keys have one of these hashes */
+    std::vector<CallId> inquiringCalls (const std::set<std::uint64_t>& keyHashes) const;
 
     //==============================================================================
-    /** One more waits for the call. */
+    /** Adds an origin that waits for the call's result. */
     void attach (CallId id, const Origin& origin);
 
-    /** One waits no longer. */
+    /** Removes one origin; the call stays. */
     void detach (CallId id, const Origin& origin);
 
-    /** Nobody waits any longer.
+    /** Removes all origins; the call stays.
 
-        @returns those who did
+        @returns the removed origins
     */
     std::vector<Origin> detachAll (CallId id);
 
-    /** Removes a call, and those who wait for it.
+    /** Removes a call and its index entries.
 
-        @returns the call as it was
+        @returns the call
     */
     InboundCall take (CallId id);
 
--- a/modules/plankledge_policy/calls/InboundCalls.cpp
+++ b/modules/plankledge_policy/calls/InboundCalls.cpp
@@ -15,17 +15,16 @@
 
 constexpr std::uint16_t serviceUnavailable = 503;
 
-/** The longest that a resending may be under way: from the caller to its entry node, and from there to here.
- */
-Duration transitOf (const OperationDeclaration& operation)
+/** Upper bound of the time from the caller of a retry through the entry node to this node. */
+Duration maxTransitTime (const OperationDeclaration& operation)
 {
     return 2 * Duration (operation.m_longestWait);
 }
 
-/** A resending whose claimed age is within the record window still finds the record when it arrives. */
-Duration retentionOf (const Turn& turn, const OperationDeclaration& operation)
+/** Includes the transit time, so that a retry sent within the record window still finds the record. */
+Duration recordRetention (const Turn& turn, const OperationDeclaration& operation)
 {
-    const auto transit = turn.mechanisms().m_transitTime ? transitOf (operation) : Duration::zero();
+    const auto transit = turn.mechanisms().m_transitTime ? maxTransitTime (operation) : Duration::zero();
     return operation.m_recordWindow + transit;
 }
 
@@ -68,8 +67,8 @@
 //==============================================================================
 void InboundCalls::receive (Turn& turn, const Origin& origin, const CallRequest& request)
 {
-    if (m_calls.waitedForBy (origin).has_value())
-        return; // a peer that numbers two calls alike gets one answer
+    if (m_calls.findByOrigin (origin).has_value())
+        return; // the peer has reused a call id; it gets a single answer
 
     const auto* service = m_hooks.m_declaration();
 
@@ -82,7 +81,7 @@
         return refuse (turn, origin, request, Reason::unknownOperation);
 
     if (! operation->m_isRepeatable)
-        return receiveOnce (turn, origin, request, *operation);
+        return receiveNonRepeatable (turn, origin, request, *operation);
 
     if (const auto reason = m_gate.refusal (turn.now()); reason != Reason::none)
         return refuse (turn, origin, request, reason);
@@ -93,8 +92,8 @@
     enqueue (turn, addCall (turn, origin, request, *operation));
 }
 
-void InboundCalls::receiveOnce (Turn& turn, const Origin& origin, const CallRequest& request,
-                                const OperationDeclaration& operation)
+void InboundCalls::receiveNonRepeatable (Turn& turn, const Origin& origin, const CallRequest& request,
+                                         const OperationDeclaration& operation)
 {
     if (request.m_idempotency.m_key.empty())
         return refuse (turn, origin, request, Reason::missingIdempotencyKey);
@@ -102,7 +101,7 @@
     const auto key = scopedKey (request.m_content, request.m_idempotency);
 
     if (const auto* record = m_records.find (key))
-        return joinRecord (turn, origin, request, *record);
+        return handleDuplicate (turn, origin, request, *record);
 
     if (const auto reason = m_gate.refusal (turn.now()); reason != Reason::none)
         return refuse (turn, origin, request, reason);
@@ -119,11 +118,11 @@
     if (! m_admission.passesThreshold (request.m_rank))
         return refuse (turn, origin, request, Reason::overloaded);
 
-    startOnce (turn, origin, request, operation);
+    startNonRepeatable (turn, origin, request, operation);
 }
 
-void InboundCalls::joinRecord (Turn& turn, const Origin& origin, const CallRequest& request,
-                               const Record& record)
+void InboundCalls::handleDuplicate (Turn& turn, const Origin& origin, const CallRequest& request,
+                                    const Record& record)
 {
     if (record.m_bodyHash != hashText (request.m_content.m_body))
         return refuse (turn, origin, request, Reason::keyReusedWithOtherBody);
@@ -138,15 +137,15 @@
     m_calls.attach (record.m_call, origin);
 }
 
-void InboundCalls::startOnce (Turn& turn, const Origin& origin, const CallRequest& request,
-                              const OperationDeclaration& operation)
+void InboundCalls::startNonRepeatable (Turn& turn, const Origin& origin, const CallRequest& request,
+                                       const OperationDeclaration& operation)
 {
     const auto key = scopedKey (request.m_content, request.m_idempotency);
     const auto bodyHash = hashText (request.m_content.m_body);
 
     if (request.m_idempotency.m_attempt == 1)
     {
-        // The fence was set for a resending of this key, which may be running elsewhere by now.
+        // The fence was set on behalf of a retry of this key, which may be running on another node.
         if (m_records.isFenced (key, turn.now()))
         {
             auto result = systemResult (turn, Outcome::unknown, Reason::fenced);
@@ -156,11 +155,11 @@
         }
 
         const auto id = addCall (turn, origin, request, operation);
-        m_records.begin (key, RecordState::running, bodyHash, id, retentionOf (turn, operation));
+        m_records.begin (key, RecordState::running, bodyHash, id, recordRetention (turn, operation));
         return enqueue (turn, id);
     }
 
-    // An age that was not said can be anything up to the record window.
+    // An unspecified age can be anything up to the record window.
     const auto age = request.m_idempotency.m_age >= Duration::zero() ? request.m_idempotency.m_age
                                                                      : Duration (operation.m_recordWindow);
 
@@ -173,8 +172,8 @@
 
     const auto id = addCall (turn, origin, request, operation);
     m_calls.at (id).m_stage = Stage::inquiring;
-    m_records.begin (key, RecordState::inquiring, bodyHash, id, retentionOf (turn, operation));
-    m_inquiries.ask (turn, { id, key, age, transitOf (operation), operation.m_recordWindow });
+    m_records.begin (key, RecordState::inquiring, bodyHash, id, recordRetention (turn, operation));
+    m_inquiries.startInquiry (turn, { id, key, age, maxTransitTime (operation), operation.m_recordWindow });
 }
 
 void InboundCalls::onInquiryFinished (Turn& turn, CallId id, Reason reason)
@@ -202,15 +201,15 @@
 {
     const auto* record = m_records.find (inquiry.m_key);
 
-    // Two nodes that ask about the same key at once must not both run it: the question that is asked here
-    // ends.
+    // Of two nodes that inquire about the same key concurrently, at most one may run it: the local inquiry
+    // is aborted.
     if (record != nullptr && record->m_state == RecordState::inquiring && turn.mechanisms().m_fences)
-        endInquiry (turn, record->m_call);
+        abortInquiry (turn, record->m_call);
 
     turn.emit (ReplyOnLink { link, from.m_instance, m_inquiries.answerFor (turn, inquiry) });
 }
 
-void InboundCalls::endInquiry (Turn& turn, CallId id)
+void InboundCalls::abortInquiry (Turn& turn, CallId id)
 {
     m_inquiries.drop (id);
     onInquiryFinished (turn, id, Reason::fenced);
@@ -226,8 +225,8 @@
     for (const auto& fence : handover.m_fences)
         hashes.insert (fence.m_keyHash);
 
-    for (const auto id : m_calls.inquiringFor (hashes))
-        endInquiry (turn, id);
+    for (const auto id : m_calls.inquiringCalls (hashes))
+        abortInquiry (turn, id);
 
     for (const auto& record : handover.m_records)
         m_records.adopt (record, turn.now());
@@ -249,7 +248,7 @@
     call.m_isRepeatable = operation.m_isRepeatable;
     call.m_key =
         operation.m_isRepeatable ? std::string() : scopedKey (request.m_content, request.m_idempotency);
-    call.m_retention = retentionOf (turn, operation);
+    call.m_retention = recordRetention (turn, operation);
     call.m_deadline = turn.now() + std::min<Duration> (request.m_timeLeft, operation.m_longestWait);
     const auto deadline = call.m_deadline;
     const auto id = m_calls.add (std::move (call), m_settings.m_self.m_id.m_incarnation);
@@ -302,7 +301,7 @@
     if (m_gate.targetState() == TargetState::unreachable)
         m_gate.setTargetState (TargetState::serving);
 
-    // A target that sheds before it made any call of its own has not run the request.
+    // A 503 without a nested call means that the target has shed the request before running it.
     if (answer.m_status == serviceUnavailable && call->m_children == 0)
     {
         m_admission.onSlotFreed (std::nullopt);
@@ -318,8 +317,8 @@
     result.m_status = answer.m_status;
     result.m_contentType = answer.m_contentType;
     result.m_body = answer.m_body;
-    result.m_retryAfter = answer.m_status >= 500 ? call->m_childComeBack : Duration::zero();
-    settleRecord (turn, *call, result);
+    result.m_retryAfter = answer.m_status >= 500 ? call->m_maxChildRetryAfter : Duration::zero();
+    updateRecord (turn, *call, result);
     finish (turn, answer.m_call, result);
     dispatchNext (turn);
 }
@@ -341,7 +340,7 @@
     }
 
     const auto result = systemResult (turn, Outcome::unknown, Reason::targetBroken);
-    settleRecord (turn, *call, result);
+    updateRecord (turn, *call, result);
     finish (turn, failure.m_call, result);
     dispatchNext (turn);
 }
@@ -352,7 +351,7 @@
         turn.emit (WriteLog { Notice::targetStateChanged, {}, static_cast<std::int64_t> (state) });
 }
 
-void InboundCalls::settleRecord (Turn& turn, const Call& call, const CallResult& result)
+void InboundCalls::updateRecord (Turn& turn, const Call& call, const CallResult& result)
 {
     if (call.m_isRepeatable)
         return;
@@ -366,13 +365,13 @@
 //==============================================================================
 void InboundCalls::cancel (Turn& turn, const Origin& origin)
 {
-    if (const auto id = m_calls.waitedForBy (origin); id.has_value())
+    if (const auto id = m_calls.findByOrigin (origin); id.has_value())
         removeWaiter (turn, *id, origin);
 }
 
 void InboundCalls::onLinkClosed (Turn& turn, LinkId link)
 {
-    for (const auto& origin : m_calls.originsOf (link))
+    for (const auto& origin : m_calls.originsOnLink (link))
         cancel (turn, origin);
 }
 
@@ -387,7 +386,7 @@
     if (call.m_stage != Stage::running)
         return refuseCall (turn, id, Reason::cancelled);
 
-    // Non-repeatable work that runs is left to end: its record serves the resending.
+    // A running non-repeatable call is left to complete: its record answers the caller's retry.
     if (! call.m_isRepeatable)
         return;
 
@@ -406,7 +405,7 @@
 
     const auto& call = *found;
 
-    // The baseline goes on with work that nobody waits for any more.
+    // The baseline policy does not cancel repeatable calls at their deadline.
     if (turn.isBaseline() && call.m_isRepeatable)
         return;
 
@@ -445,11 +444,11 @@
     if (m_admission.onWindowEnd())
         turn.emit (WriteLog { Notice::thresholdChanged, {}, m_admission.threshold() });
 
-    // What waits and would be refused now gets its final answer now.
+    // Queued calls that the new threshold rejects are refused at once.
     while (const auto refused = m_admission.takeRefused())
         refuseCall (turn, *refused, Reason::overloaded);
 
-    // This node's own requests judge by what holds now, not by the last answer.
+    // This node's own requests use the current threshold instead of the one in the last answer.
     m_thresholds.onInstance (self.m_service, self.m_id.m_instance, m_admission.threshold(), turn.now());
 }
 
@@ -483,22 +482,22 @@
     turn.timers().cancel (call.m_deadline, TimerKind::inboundDeadline, id);
     m_hooks.m_cancelChildren (turn, id);
 
-    auto left = call.m_budget.remaining();
+    auto remainingRetries = call.m_budget.remaining();
 
     for (const auto& origin : call.m_waiters)
     {
-        answer (turn, origin, call.m_request, result, left);
-        left = 0;
+        answer (turn, origin, call.m_request, result, remainingRetries);
+        remainingRetries = 0;
     }
 }
 
 void InboundCalls::answer (Turn& turn, const Origin& origin, const CallRequest& request,
-                           const CallResult& result, RetryCount left)
+                           const CallResult& result, RetryCount remainingRetries)
 {
     CallAnswer message;
     message.m_callId = origin.m_callId;
     message.m_result = result;
-    message.m_retriesReturned = left;
+    message.m_retriesReturned = remainingRetries;
     message.m_threshold = m_admission.threshold();
     message.m_loadPermille = m_admission.loadPermille();
     message.m_downstream =
@@ -513,7 +512,7 @@
 //==============================================================================
 std::optional<InboundCalls::Parent> InboundCalls::findParent (const std::string& requestId)
 {
-    const auto id = m_calls.withRequestId (requestId);
+    const auto id = m_calls.findByRequestId (requestId);
 
     if (! id.has_value())
         return std::nullopt;
@@ -539,7 +538,7 @@
     auto* found = m_calls.find (parent);
 
     if (found != nullptr && result.m_outcome != Outcome::completed)
-        found->m_childComeBack = std::max (found->m_childComeBack, result.m_retryAfter);
+        found->m_maxChildRetryAfter = std::max (found->m_maxChildRetryAfter, result.m_retryAfter);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -6,7 +6,7 @@
 #include "plankledge_policy/calls/InboundCallTable.h"
 #include "plankledge_policy/calls/IntakeGate.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/once/InquiryBoard.h"
+#include "plankledge_policy/once/InquiryCoordinator.h"
 #include "plankledge_policy/once/RecordTable.h"
 #include <functional>
 #include <string>
@@ -16,17 +16,17 @@
 
 //==============================================================================
 /**
-    The calls that this node runs, or refuses to run, at its own target.
+    Admits calls to the local target, dispatches them and answers their origins.
 
-    Non-repeatable work passes the idempotency records first: a resending joins the
-    running call or gets the kept answer, and one whose key is not known here runs
-    only after the inquiry. Then admission, then the target.
+    A non-repeatable call is first looked up in the idempotency records: a duplicate
+    attaches to the running call or receives the stored result, and a retry whose key
+    is not known here runs only after an inquiry among the peers.
 */
 class InboundCalls
 {
 public:
     //==============================================================================
-    /** What the calls that a target makes take from the call it serves. */
+    /** The properties that nested calls inherit from the call that the target is serving. */
     struct Parent
     {
         CallId m_call = 0;
@@ -37,13 +37,13 @@
         Time m_deadline;
     };
 
-    /** Hooks to the rest of the reducer. */
+    /** Hooks into the rest of the reducer. */
     struct Hooks
     {
         std::function<void (Turn&, const CallAnswer&)> m_answerLocally;
         std::function<void (Turn&, CallId)> m_cancelChildren;
         std::function<const ServiceDeclaration*()>
-            m_declaration; /**< of the own service; nullptr: none in force */
+            m_declaration; /**< of this node's service; nullptr if none is in force */
         std::function<bool()> m_isEstablished;
     };
 
@@ -61,27 +61,30 @@
 
     void onInquiry (Turn& turn, LinkId link, const NodeId& from, const Inquiry& inquiry);
 
-    /** A leaver's records and fences are kept here from now on. */
+    /** Imports the records and fences of a leaving node and acknowledges them. */
     void onHandover (Turn& turn, LinkId link, const NodeId& from, const Handover& handover);
 
     void onDeadline (Turn& turn, CallId call);
     void onAbandonTime (Turn& turn, CallId call);
     void onWindowEnd (Turn& turn);
 
-    /** Opens and closes this node for new work. */
+    /** @returns the gate that decides whether new calls are accepted */
     IntakeGate& gate() noexcept { return m_gate; }
     const IntakeGate& gate() const noexcept { return m_gate; }
 
     void onConfiguration();
 
     //==============================================================================
-    /** @returns the call that the target serves under this request id, or nullopt */
+    /** Finds the call that the target serves under a request id, and counts one nested call of it.
+
+        @returns the call, or nullopt if none has this request id
+    */
     std::optional<Parent> findParent (const std::string& requestId);
 
-    /** @returns the retries that the call and all below it may still spend; nullptr once it has ended */
+    /** @returns the retry budget shared by the call and its nested calls; nullptr once the call has ended */
     RetryBudget* findBudget (CallId call);
 
-    /** A call that the target made on behalf of another has ended. */
+    /** Records the result of a nested call that the target made on behalf of the parent. */
     void onChildEnded (CallId parent, const CallResult& result);
 
     bool isIdle() const noexcept { return m_calls.isEmpty(); }
@@ -89,32 +92,32 @@
     const Admission& admission() const noexcept { return m_admission; }
     RecordTable& records() noexcept { return m_records; }
     const RecordTable& records() const noexcept { return m_records; }
-    InquiryBoard& inquiries() noexcept { return m_inquiries; }
+    InquiryCoordinator& inquiries() noexcept { return m_inquiries; }
 
 private:
     //==============================================================================
     using Call = detail::InboundCall;
     using Stage = Call::Stage;
 
-    void receiveOnce (Turn& turn, const Origin& origin, const CallRequest& request,
-                      const OperationDeclaration&);
-    void joinRecord (Turn& turn, const Origin& origin, const CallRequest& request, const Record& record);
-    void startOnce (Turn& turn, const Origin& origin, const CallRequest& request,
-                    const OperationDeclaration&);
+    void receiveNonRepeatable (Turn& turn, const Origin& origin, const CallRequest& request,
+                               const OperationDeclaration&);
+    void handleDuplicate (Turn& turn, const Origin& origin, const CallRequest& request, const Record& record);
+    void startNonRepeatable (Turn& turn, const Origin& origin, const CallRequest& request,
+                             const OperationDeclaration&);
     CallId addCall (Turn& turn, const Origin& origin, const CallRequest& request,
                     const OperationDeclaration&);
     void enqueue (Turn& turn, CallId id);
     void dispatchNext (Turn& turn);
     void dispatch (Turn& turn, CallId id);
     void onInquiryFinished (Turn& turn, CallId id, Reason reason);
-    void endInquiry (Turn& turn, CallId id);
+    void abortInquiry (Turn& turn, CallId id);
 
     void refuse (Turn& turn, const Origin& origin, const CallRequest& request, Reason reason);
     void refuseCall (Turn& turn, CallId id, Reason reason);
     void finish (Turn& turn, CallId id, const CallResult& result);
     void answer (Turn& turn, const Origin& origin, const CallRequest& request, const CallResult&,
-                 RetryCount left);
-    void settleRecord (Turn& turn, const Call& call, const CallResult& result);
+                 RetryCount remainingRetries);
+    void updateRecord (Turn& turn, const Call& call, const CallResult& result);
     void removeWaiter (Turn& turn, CallId id, const Origin& origin);
 
     const NodeSettings& m_settings;
@@ -123,12 +126,12 @@
     Hooks m_hooks;
     Admission m_admission;
     RecordTable m_records;
-    InquiryBoard m_inquiries;
+    InquiryCoordinator m_inquiries;
     detail::InboundCallTable m_calls;
     IntakeGate m_gate;
 };
 
-/** @returns the key as records and rendezvous order use it: scoped by service and operation */
+/** @returns the idempotency key prefixed with service and operation; records are stored under it */
 std::string scopedKey (const RequestContent& content, const Idempotency& idempotency);
 
 } // namespace plankledge
--- a/modules/plankledge_policy/calls/IntakeGate.h
+++ b/modules/plankledge_policy/calls/IntakeGate.h
@@ -8,18 +8,18 @@
 {
 
 //==============================================================================
-/** Whether a node takes new work at all, whatever the work: for its own state and its target's. */
+/** Decides whether a node accepts new calls at all, by its own state and the state of its target. */
 class IntakeGate
 {
 public:
     //==============================================================================
-    /** From now on no new call is taken. */
+    /** Refuses all new calls from now on. */
     void close() noexcept { m_isClosed = true; }
 
-    /** From the given time on no new call is taken; nullopt: they are. */
+    /** Refuses all new calls from the given time on; nullopt removes that limit. */
     void closeFrom (std::optional<Time> time) noexcept { m_closesAt = time; }
 
-    /** What arrives until then lay in buffers while the process was frozen: it is too late for it. */
+    /** Refuses calls until the given time, since they were buffered while the process was paused. */
     void refuseBufferedUntil (Time until) noexcept { m_bufferedUntil = until; }
 
     /** @returns whether the target's state changed */
@@ -33,10 +33,10 @@
     //==============================================================================
     TargetState targetState() const noexcept { return m_targetState; }
 
-    /** @returns whether what arrives now lay in buffers while the process was frozen */
+    /** @returns whether calls that arrive now were buffered while the process was paused */
     bool isLate (Time now) const noexcept { return now < m_bufferedUntil; }
 
-    /** @returns why no new call is taken now; none where it is */
+    /** @returns why new calls are refused now; Reason::none if they are accepted */
     Reason refusal (Time now) const noexcept
     {
         if (isLate (now))
--- a/modules/plankledge_policy/calls/OutgoingCalls.cpp
+++ b/modules/plankledge_policy/calls/OutgoingCalls.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-/** Within a class, first sendings go before resendings: whoever comes after the trouble is served as before
-   it, and those who return share what is left.
+/** Ranks first attempts before retries of the same priority class, so that the retries that follow an outage
+    don't displace new requests.
 */
-Rank rankOf (PriorityClass priority, std::uint64_t rootId, bool isResending) noexcept
+Rank rankOf (PriorityClass priority, std::uint64_t rootId, bool isCallerRetry) noexcept
 {
-    constexpr Rank cohortsOfEach = cohortsPerClass / 2;
-    const auto cohort = static_cast<Rank> (rootId % cohortsOfEach + (isResending ? cohortsOfEach : 0));
+    constexpr Rank cohortsPerHalf = cohortsPerClass / 2;
+    const auto cohort = static_cast<Rank> (rootId % cohortsPerHalf + (isCallerRetry ? cohortsPerHalf : 0));
     return static_cast<Rank> (static_cast<unsigned> (priority) * cohortsPerClass + cohort);
 }
 
@@ -123,15 +123,16 @@
 
 void OutgoingCalls::startRoot (Turn& turn, const RequestReceived& received, Request& request)
 {
-    const auto resendings = received.m_idempotency.m_attempt > 1 ? received.m_idempotency.m_attempt - 1 : 0;
+    const auto callerRetries =
+        received.m_idempotency.m_attempt > 1 ? received.m_idempotency.m_attempt - 1 : 0;
     const auto declared = request.m_operation.m_retryBudget;
 
-    // A caller's resendings keep the cohort of their key, so that they fare alike at every hop.
+    // All retries of a key share its cohort, so that every hop treats them alike.
     request.m_rootId = received.m_idempotency.m_key.empty()
                            ? turn.random().below (~std::uint64_t { 0 })
                            : hashText (scopedKey (received.m_content, received.m_idempotency));
-    request.m_rank = rankOf (request.m_operation.m_class, request.m_rootId, resendings > 0);
-    request.m_budget = RetryBudget (declared > resendings ? declared - resendings : 0);
+    request.m_rank = rankOf (request.m_operation.m_class, request.m_rootId, callerRetries > 0);
+    request.m_budget = RetryBudget (declared > callerRetries ? declared - callerRetries : 0);
 }
 
 Reason OutgoingCalls::refusalByThreshold (Turn& turn, const Request& request) const
@@ -154,7 +155,7 @@
 //==============================================================================
 void OutgoingCalls::send (Turn& turn, CallId id)
 {
-    const auto member = choose (turn, m_requests.at (id));
+    const auto member = chooseMember (turn, m_requests.at (id));
 
     if (! member.has_value())
         return giveUp (turn, id, Outcome::notRun, Reason::noReachableInstance);
@@ -162,16 +163,18 @@
     sendTo (turn, id, *member);
 }
 
-std::optional<Member> OutgoingCalls::choose (Turn& turn, const Request& request)
+std::optional<Member> OutgoingCalls::chooseMember (Turn& turn, const Request& request)
 {
-    return request.m_operation.m_isRepeatable ? chooseInstance (turn, request) : chooseOwner (turn, request);
+    return request.m_operation.m_isRepeatable ? chooseInstance (turn, request)
+                                              : chooseCandidate (turn, request);
 }
 
 std::optional<Member> OutgoingCalls::chooseInstance (Turn& turn, const Request& request)
 {
     auto candidates = m_membership.acceptingRequests (request.m_content.m_service);
-    std::erase_if (candidates,
-                   [&] (const Member& member) { return request.m_unfit.contains (member.m_id.m_instance); });
+    std::erase_if (candidates, [&] (const Member& member) {
+        return request.m_excludedInstances.contains (member.m_id.m_instance);
+    });
 
     if (! turn.isBaseline())
     {
@@ -188,15 +191,15 @@
     return m_router.pick (candidates, turn.random(), turn.now());
 }
 
-std::optional<Member> OutgoingCalls::chooseOwner (Turn& turn, const Request& request) const
+std::optional<Member> OutgoingCalls::chooseCandidate (Turn& turn, const Request& request) const
 {
     const auto keyHash = hashText (scopedKey (request.m_content, request.m_idempotency));
 
     for (const auto& member : m_membership.candidatesFor (keyHash, request.m_content.m_service))
     {
-        const bool isFit = ! request.m_unfit.contains (member.m_id.m_instance);
+        const bool isNotExcluded = ! request.m_excludedInstances.contains (member.m_id.m_instance);
 
-        if (isFit && m_router.isUsable (member.m_id, turn.now()))
+        if (isNotExcluded && m_router.isUsable (member.m_id, turn.now()))
             return member;
     }
 
@@ -209,7 +212,7 @@
     auto* budget = budgetOf (request);
     request.m_instance = member;
     request.m_call = m_next++;
-    request.m_granted = budget != nullptr && ! turn.isBaseline() ? budget->grant() : 0;
+    request.m_grantedRetries = budget != nullptr && ! turn.isBaseline() ? budget->grant() : 0;
     m_byCall[request.m_call] = id;
     m_router.onSent (member.m_id.m_instance);
 
@@ -224,7 +227,7 @@
     message.m_rootId = request.m_rootId;
     message.m_rank = request.m_rank;
     message.m_depth = request.m_depth;
-    message.m_retryGrant = request.m_granted;
+    message.m_retryGrant = request.m_grantedRetries;
     message.m_timeLeft = request.m_deadline - turn.now();
 
     if (member.m_id.m_instance == m_settings.m_self.m_id.m_instance)
@@ -242,10 +245,10 @@
     m_router.onEnded (request.m_instance->m_id.m_instance);
 
     if (auto* budget = budgetOf (request))
-        budget->refund (returned, request.m_granted);
+        budget->refund (returned, request.m_grantedRetries);
 
     request.m_instance.reset();
-    request.m_granted = 0;
+    request.m_grantedRetries = 0;
 }
 
 //==============================================================================
@@ -274,21 +277,21 @@
     m_router.onAnswered (from, answer.m_loadPermille);
 
     if (answer.m_result.m_reason == Reason::targetRefusedConnection)
-        m_router.onFailed (knownLifeOf (from), turn.now());
+        m_router.onFailed (lastKnownNodeId (from), turn.now());
 
     endCall (request, answer.m_retriesReturned);
 
     if (answer.m_result.m_outcome == Outcome::completed)
         return finish (turn, id, answer.m_result);
 
-    request.m_unfit.insert (from);
-    onNotAnswered (turn, id, answer.m_result);
+    request.m_excludedInstances.insert (from);
+    onCallFailed (turn, id, answer.m_result);
 }
 
 void OutgoingCalls::onPeerUnreachable (Turn& turn, const InstanceName& instance,
                                        const std::vector<CallId>& calls)
 {
-    m_router.onUnreachable (knownLifeOf (instance), turn.now());
+    m_router.onUnreachable (lastKnownNodeId (instance), turn.now());
 
     for (const auto call : calls)
     {
@@ -299,40 +302,40 @@
 
         const auto id = found->second;
         auto& request = m_requests.at (id);
-        endCall (request, request.m_granted);
-        request.m_unfit.insert (instance);
+        endCall (request, request.m_grantedRetries);
+        request.m_excludedInstances.insert (instance);
 
         CallResult result;
         result.m_outcome = Outcome::notRun;
         result.m_reason = Reason::peerUnreachable;
-        onNotAnswered (turn, id, result);
+        onCallFailed (turn, id, result);
     }
 }
 
 void OutgoingCalls::onPeerLost (Turn& turn, const InstanceName& instance)
 {
-    m_router.onUnreachable (knownLifeOf (instance), turn.now());
+    m_router.onUnreachable (lastKnownNodeId (instance), turn.now());
 
-    for (const auto id : requestsAt (instance))
+    for (const auto id : requestsSentTo (instance))
     {
         auto& request = m_requests.at (id);
         endCall (request, 0);
-        request.m_unfit.insert (instance);
+        request.m_excludedInstances.insert (instance);
 
         CallResult result;
         result.m_outcome = Outcome::unknown;
         result.m_reason = Reason::peerLost;
-        onNotAnswered (turn, id, result);
+        onCallFailed (turn, id, result);
     }
 }
 
-NodeId OutgoingCalls::knownLifeOf (const InstanceName& instance) const
+NodeId OutgoingCalls::lastKnownNodeId (const InstanceName& instance) const
 {
     const auto* member = m_membership.find (instance);
     return member != nullptr ? member->m_id : NodeId { instance, 0 };
 }
 
-std::vector<CallId> OutgoingCalls::requestsAt (const InstanceName& instance) const
+std::vector<CallId> OutgoingCalls::requestsSentTo (const InstanceName& instance) const
 {
     std::vector<CallId> result;
 
@@ -344,7 +347,7 @@
 }
 
 //==============================================================================
-void OutgoingCalls::onNotAnswered (Turn& turn, CallId id, const CallResult& result)
+void OutgoingCalls::onCallFailed (Turn& turn, CallId id, const CallResult& result)
 {
     auto& request = m_requests.at (id);
     request.m_mayHaveRun = request.m_mayHaveRun || result.m_outcome == Outcome::unknown;
@@ -355,11 +358,11 @@
     if (! m_retryDecision.admitRetry (turn, subject, result, request.m_history))
         return finish (turn, id, result);
 
-    // The baseline asks those that failed again.
+    // The baseline policy may retry on instances that have failed.
     if (turn.isBaseline())
-        request.m_unfit.clear();
+        request.m_excludedInstances.clear();
 
-    const auto member = choose (turn, request);
+    const auto member = chooseMember (turn, request);
 
     if (! member.has_value())
         return finish (turn, id, result);
@@ -451,10 +454,10 @@
 {
     auto node = m_requests.extract (id);
     const auto& request = node.mapped();
-    const bool isResending = ! request.m_operation.m_isRepeatable && request.m_idempotency.m_attempt != 1;
+    const bool isCallerRetry = ! request.m_operation.m_isRepeatable && request.m_idempotency.m_attempt != 1;
 
-    // An earlier try, or an earlier sending of the same key, may have run even where this one did not.
-    if (result.m_outcome == Outcome::notRun && (request.m_mayHaveRun || isResending))
+    // An earlier call of this request, or an earlier attempt with the same key, may have run.
+    if (result.m_outcome == Outcome::notRun && (request.m_mayHaveRun || isCallerRetry))
         result.m_outcome = Outcome::unknown;
 
     if (result.m_outcome != Outcome::completed && result.m_retryAfter == Duration::zero())
@@ -469,11 +472,12 @@
 
     if (request.m_parent.has_value())
     {
-        auto below = m_thresholds.downstreamOf (request.m_content.m_service, request.m_content.m_operation,
-                                                turn.now());
-        below.push_back ({ request.m_content.m_service,
-                           m_thresholds.ofService (request.m_content.m_service, turn.now()) });
-        m_thresholds.onDownstream (m_settings.m_self.m_service, request.m_parentOperation, below, turn.now());
+        auto downstream = m_thresholds.downstreamOf (request.m_content.m_service,
+                                                     request.m_content.m_operation, turn.now());
+        downstream.push_back ({ request.m_content.m_service,
+                                m_thresholds.ofService (request.m_content.m_service, turn.now()) });
+        m_thresholds.onDownstream (m_settings.m_self.m_service, request.m_parentOperation, downstream,
+                                   turn.now());
         m_inbound.onChildEnded (*request.m_parent, result);
     }
 
@@ -482,13 +486,13 @@
 
 void OutgoingCalls::refuse (Turn& turn, const RequestReceived& request, Reason reason)
 {
-    // An earlier sending of the same key may have run, whatever becomes of this one.
+    // An earlier attempt with the same key may have run.
     const auto& idempotency = request.m_idempotency;
-    const bool isResending =
+    const bool isCallerRetry =
         ! idempotency.m_key.empty() && idempotency.m_attempt != 1 && isTransient (reason);
 
     CallResult result;
-    result.m_outcome = isResending ? Outcome::unknown : Outcome::notRun;
+    result.m_outcome = isCallerRetry ? Outcome::unknown : Outcome::notRun;
     result.m_reason = reason;
     result.m_retryAfter = computeRetryAfter (turn, reason);
     ++turn.counters().m_outcomes[static_cast<std::size_t> (result.m_outcome)];
--- a/modules/plankledge_policy/calls/OutgoingCalls.h
+++ b/modules/plankledge_policy/calls/OutgoingCalls.h
@@ -15,12 +15,13 @@
 
 //==============================================================================
 /**
-    The requests that wait for an answer at this node's caller and outbound
-    addresses, and the calls sent to instances for them.
+    Tracks the requests received on this node's caller and outbound addresses, and
+    the calls that are sent to instances for them.
 
-    A request is refused at once where a service it is known to reach would refuse
-    it; otherwise it goes to one instance at a time, and again to another only while
-    that can't run it twice and its budget, the throttle and its time allow.
+    A request is refused at once if its rank reaches the threshold of its service or
+    of a known downstream service. Otherwise it is sent to one instance at a time. A
+    failed call is retried on another instance if that cannot run it twice and if the
+    retry budget, the retry throttle and the deadline allow it.
 */
 class OutgoingCalls
 {
@@ -28,7 +29,7 @@
     //==============================================================================
     struct Hooks
     {
-        std::function<const Declarations*()> m_declarations; /**< nullptr: none in force */
+        std::function<const Declarations*()> m_declarations; /**< nullptr if none are in force */
         std::function<void (Turn&, const CallRequest&)> m_callLocally;
         std::function<void (Turn&, CallId)> m_cancelLocally;
     };
@@ -40,7 +41,7 @@
     void receive (Turn& turn, const RequestReceived& request);
     void onCallerDisconnected (Turn& turn, Ticket ticket);
 
-    /** Answers a request without taking it in. */
+    /** Answers a request without tracking it. */
     static void refuse (Turn& turn, const RequestReceived& request, Reason reason);
 
     void onAnswer (Turn& turn, const InstanceName& from, const CallAnswer& answer);
@@ -67,11 +68,11 @@
         Time m_deadline;
         std::optional<CallId> m_parent;
         OperationName m_parentOperation;
-        RetryBudget m_budget;             /**< of a root; a child draws on its parent's */
-        std::set<InstanceName> m_unfit;   /**< could not take it, or lost it */
-        std::optional<Member> m_instance; /**< that has it now */
-        CallId m_call = 0;                /**< under which it was sent there */
-        RetryCount m_granted = 0;
+        RetryBudget m_budget; /**< of a root request; nested requests use their parent's */
+        std::set<InstanceName> m_excludedInstances; /**< refused it or lost it */
+        std::optional<Member> m_instance;           /**< to which it is currently sent */
+        CallId m_call = 0;                          /**< id of the current call to that instance */
+        RetryCount m_grantedRetries = 0;
         RetryHistory m_history;
         bool m_mayHaveRun = false;
     };
@@ -82,19 +83,19 @@
     Reason refusalByThreshold (Turn& turn, const Request& request) const;
 
     void send (Turn& turn, CallId id);
-    std::optional<Member> choose (Turn& turn, const Request& request);
+    std::optional<Member> chooseMember (Turn& turn, const Request& request);
     std::optional<Member> chooseInstance (Turn& turn, const Request& request);
-    std::optional<Member> chooseOwner (Turn& turn, const Request& request) const;
+    std::optional<Member> chooseCandidate (Turn& turn, const Request& request) const;
     void sendTo (Turn& turn, CallId id, const Member& member);
     void endCall (Request& request, RetryCount returned);
 
-    void onNotAnswered (Turn& turn, CallId id, const CallResult& result);
+    void onCallFailed (Turn& turn, CallId id, const CallResult& result);
     RetryBudget* budgetOf (Request& request);
     void giveUp (Turn& turn, CallId id, Outcome outcome, Reason reason);
     void cancelCall (Turn& turn, Request& request);
     void finish (Turn& turn, CallId id, CallResult result);
-    NodeId knownLifeOf (const InstanceName& instance) const;
-    std::vector<CallId> requestsAt (const InstanceName& instance) const;
+    NodeId lastKnownNodeId (const InstanceName& instance) const;
+    std::vector<CallId> requestsSentTo (const InstanceName& instance) const;
 
     const NodeSettings& m_settings;
     Membership& m_membership;
@@ -104,7 +105,7 @@
     Hooks m_hooks;
     std::map<CallId, Request> m_requests;
     std::map<Ticket, CallId> m_byTicket;
-    std::map<CallId, CallId> m_byCall; /**< the call's number to its request's */
+    std::map<CallId, CallId> m_byCall; /**< from call id to request id */
     RetryDecision m_retryDecision;
     CallId m_next = 1;
 };
--- a/modules/plankledge_policy/membership/DrainProtocol.cpp
+++ b/modules/plankledge_policy/membership/DrainProtocol.cpp
@@ -10,10 +10,10 @@
 {
 
 constexpr Duration checkPeriod = Milliseconds (100);
-constexpr Duration handoverLimit = std::chrono::seconds (5);
-constexpr Duration noticeLimit = std::chrono::seconds (3);
-constexpr std::size_t recordsPerBatch = 200;
-constexpr std::size_t fencesPerBatch = 20000;
+constexpr Duration handoverTimeout = std::chrono::seconds (5);
+constexpr Duration noticeTimeout = std::chrono::seconds (3);
+constexpr std::size_t maxRecordsPerBatch = 200;
+constexpr std::size_t maxFencesPerBatch = 20000;
 
 } // namespace
 
@@ -49,7 +49,7 @@
 
         if (sinceStart >= turn.settings().m_drainGrace)
         {
-            m_hooks.m_refuseNew();
+            m_hooks.m_refuseNewCalls();
             m_phase = Phase::finishing;
         }
     }
@@ -69,12 +69,12 @@
     }
     else if (m_phase == Phase::handingOver)
     {
-        if (m_batches.empty() || sincePhase >= handoverLimit)
-            startNotices (turn);
+        if (m_batches.empty() || sincePhase >= handoverTimeout)
+            sendLeaveNotices (turn);
         else
             sendBatches (turn);
     }
-    else if (m_phase == Phase::notifying && (m_unnotified.empty() || sincePhase >= noticeLimit))
+    else if (m_phase == Phase::notifying && (m_unnotified.empty() || sincePhase >= noticeTimeout))
     {
         return exit (turn);
     }
@@ -89,36 +89,37 @@
     m_phaseStartedAt = turn.now();
 
     if (! turn.mechanisms().m_handover)
-        return startNotices (turn);
+        return sendLeaveNotices (turn);
 
-    std::map<InstanceName, std::uint64_t> open; // the batch that is being filled for each heir
-    const auto batchFor = [&] (const Member& heir) -> Handover& {
-        const auto& instance = heir.m_id.m_instance;
-        const auto current = open.find (instance);
+    std::map<InstanceName, std::uint64_t> openBatches; // the batch being filled, for each successor
+    const auto batchFor = [&] (const Member& successor) -> Handover& {
+        const auto& instance = successor.m_id.m_instance;
+        const auto current = openBatches.find (instance);
 
-        if (current != open.end())
+        if (current != openBatches.end())
         {
             auto& handover = m_batches.at (current->second).m_handover;
 
-            if (handover.m_records.size() < recordsPerBatch && handover.m_fences.size() < fencesPerBatch)
+            if (handover.m_records.size() < maxRecordsPerBatch &&
+                handover.m_fences.size() < maxFencesPerBatch)
                 return handover;
         }
 
         const auto number = m_nextBatch++;
-        open[instance] = number;
+        openBatches[instance] = number;
         auto& batch = m_batches[number];
-        batch.m_heir = heir;
+        batch.m_successor = successor;
         batch.m_handover.m_batch = number;
         return batch.m_handover;
     };
 
     for (const auto& record : m_records.finishedRecords (turn.now()))
-        for (const auto& heir : m_membership.heirsOf (hashText (record.m_key)))
-            batchFor (heir).m_records.push_back (record);
+        for (const auto& successor : m_membership.successorsOf (hashText (record.m_key)))
+            batchFor (successor).m_records.push_back (record);
 
-    for (const auto& fence : m_records.liveFences (turn.now()))
-        for (const auto& heir : m_membership.heirsOf (fence.m_keyHash))
-            batchFor (heir).m_fences.push_back (fence);
+    for (const auto& fence : m_records.activeFences (turn.now()))
+        for (const auto& successor : m_membership.successorsOf (fence.m_keyHash))
+            batchFor (successor).m_fences.push_back (fence);
 
     sendBatches (turn);
 }
@@ -126,7 +127,8 @@
 void DrainProtocol::sendBatches (Turn& turn)
 {
     for (const auto& [number, batch] : m_batches)
-        turn.emit (SendToPeer { batch.m_heir.m_id.m_instance, batch.m_heir.m_endpoint, batch.m_handover });
+        turn.emit (
+            SendToPeer { batch.m_successor.m_id.m_instance, batch.m_successor.m_endpoint, batch.m_handover });
 }
 
 void DrainProtocol::onHandoverAcknowledged (const HandoverAcknowledgement& acknowledgement)
@@ -134,12 +136,12 @@
     m_batches.erase (acknowledgement.m_batch);
 }
 
-void DrainProtocol::startNotices (Turn& turn)
+void DrainProtocol::sendLeaveNotices (Turn& turn)
 {
     std::set<InstanceName> failed;
 
     for (const auto& [number, batch] : m_batches)
-        failed.insert (batch.m_heir.m_id.m_instance);
+        failed.insert (batch.m_successor.m_id.m_instance);
 
     const auto peers = m_membership.peers();
     const bool hasRecords = m_records.size() > 0 || m_records.fenceCount() > 0;
--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -11,12 +11,12 @@
 
 //==============================================================================
 /**
-    Takes this node out as planned: it says so, goes on taking work for a grace time,
-    ends what it has, hands its records and fences to each key's next candidates,
-    tells its service's members, and exits.
+    Drains this node for a planned exit: it announces that it is leaving, accepts new
+    requests for a grace period, completes its pending work, hands its records and
+    fences over to each key's next candidates, notifies its service's members, and exits.
 
-    Where nobody could take the records the members are not told; then what this node
-    knew counts as lost, as after a crash.
+    If no peer could take the records, the members are not notified. The records then
+    count as lost, as after a crash.
 */
 class DrainProtocol
 {
@@ -24,8 +24,8 @@
     //==============================================================================
     struct Hooks
     {
-        std::function<void (Turn&)> m_announce; /**< tell others that this node is leaving */
-        std::function<void()> m_refuseNew;
+        std::function<void (Turn&)> m_announce; /**< tells other nodes that this node is leaving */
+        std::function<void()> m_refuseNewCalls;
         std::function<bool()> m_isIdle;
     };
 
@@ -39,7 +39,7 @@
 
     bool isDraining() const noexcept { return m_phase != Phase::none; }
 
-    /** @returns whether new work is refused by now */
+    /** @returns whether new requests are refused */
     bool refusesNew() const noexcept { return m_phase > Phase::announcing; }
 
 private:
@@ -56,13 +56,13 @@
 
     struct Batch
     {
-        Member m_heir;
+        Member m_successor;
         Handover m_handover;
     };
 
     void startHandover (Turn& turn);
     void sendBatches (Turn& turn);
-    void startNotices (Turn& turn);
+    void sendLeaveNotices (Turn& turn);
     void exit (Turn& turn);
 
     Membership& m_membership;
--- a/modules/plankledge_policy/membership/JoinProtocol.cpp
+++ b/modules/plankledge_policy/membership/JoinProtocol.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-constexpr Duration silentAfter = Milliseconds (1500); // asked for so long without an answer: not reachable
+constexpr Duration acknowledgementTimeout = Milliseconds (1500); // then a peer counts as unreachable
 constexpr unsigned roundsPerAppend = 10;
 
 } // namespace
 
 //==============================================================================
 JoinProtocol::JoinProtocol (Membership& membership, RecordTable& records,
-                            std::function<void (Turn&)> established)
+                            std::function<void (Turn&)> onEstablished)
     : m_membership (membership)
     , m_records (records)
-    , m_established (std::move (established))
+    , m_onEstablished (std::move (onEstablished))
 {
 }
 
@@ -36,7 +36,7 @@
 {
     if (m_isEstablished)
     {
-        // Joins of others come by rumour and list; the stream closes what gaps those leave.
+        // Reads joins that neither gossip nor the platform's list has delivered.
         turn.emit (ReadLog { LogStream::joins, m_nextOffset });
         turn.timers().set (turn.now() + turn.jittered (turn.settings().m_joinPeriod * 30), TimerKind::join);
         return;
@@ -49,13 +49,13 @@
         turn.emit (AppendJoin { m_membership.self() });
 
     turn.emit (ReadLog { LogStream::joins, m_nextOffset });
-    removeVanished (turn);
-    check (turn);
-    askMissing (turn);
+    removeUnreachablePeers (turn);
+    checkEstablished (turn);
+    requestMissingAcknowledgements (turn);
     turn.timers().set (turn.now() + turn.settings().m_joinPeriod, TimerKind::join);
 }
 
-void JoinProtocol::askMissing (Turn& turn)
+void JoinProtocol::requestMissingAcknowledgements (Turn& turn)
 {
     if (m_isEstablished)
         return;
@@ -67,21 +67,22 @@
         if (m_acknowledged.contains (peer.m_id))
             continue;
 
-        m_firstAsked.try_emplace (peer.m_id.m_instance, turn.now());
+        m_firstRequestedAt.try_emplace (peer.m_id.m_instance, turn.now());
         turn.emit (SendToPeer { peer.m_id.m_instance, peer.m_endpoint, JoinRequest { m_membership.self() } });
     }
 }
 
-void JoinProtocol::removeVanished (Turn& turn)
+void JoinProtocol::removeUnreachablePeers (Turn& turn)
 {
     for (const auto& peer : m_membership.peers())
     {
         const auto& instance = peer.m_id.m_instance;
         const auto since = m_membership.knownSince (instance);
-        const bool isOld = since.has_value() && turn.now() - *since > turn.settings().m_listLagBound;
+        const bool isPastListLag = since.has_value() && turn.now() - *since > turn.settings().m_listLagBound;
 
-        if (isOld && m_hasList && ! m_membership.isListed (instance) && m_unreachable.contains (instance))
-            m_membership.onVanished (instance, turn.now());
+        if (isPastListLag && m_hasList && ! m_membership.isListed (instance) &&
+            m_unreachable.contains (instance))
+            m_membership.removeUnreachable (instance, turn.now());
     }
 }
 
@@ -92,9 +93,9 @@
     m_hasList = true;
 
     if (isFirst)
-        askMissing (turn);
+        requestMissingAcknowledgements (turn);
 
-    check (turn);
+    checkEstablished (turn);
 }
 
 void JoinProtocol::onJoinsRead (Turn& turn, const JoinsRead& read)
@@ -110,7 +111,7 @@
         m_membership.learn (record.m_member, turn.now());
     }
 
-    check (turn);
+    checkEstablished (turn);
 }
 
 JoinAcknowledgement JoinProtocol::onRequest (Turn& turn, const JoinRequest& request) const
@@ -120,11 +121,11 @@
 
     JoinAcknowledgement acknowledgement;
     acknowledgement.m_isEstablished = m_isEstablished;
-    acknowledgement.m_members = m_membership.ownService();
+    acknowledgement.m_members = m_membership.ownServiceMembers();
     acknowledgement.m_lost = m_membership.lostMemories (turn.now());
 
     if (turn.mechanisms().m_fencesInAcknowledgement)
-        acknowledgement.m_fences = m_records.fencesForJoiner (turn.now());
+        acknowledgement.m_fences = m_records.fencesForJoiningNode (turn.now());
 
     return acknowledgement;
 }
@@ -143,39 +144,41 @@
         m_records.fence (fence.m_keyHash, turn.now() + fence.m_for);
 
     m_acknowledged.insert (from);
-    m_hasEstablishedWitness = m_hasEstablishedWitness || acknowledgement.m_isEstablished;
-    check (turn);
+    m_isAcknowledgedByEstablished = m_isAcknowledgedByEstablished || acknowledgement.m_isEstablished;
+    checkEstablished (turn);
 }
 
 //==============================================================================
-void JoinProtocol::check (Turn& turn)
+void JoinProtocol::checkEstablished (Turn& turn)
 {
     if (m_isEstablished)
         return;
 
-    const bool isWitnessed = m_hasEstablishedWitness && haveReachableAcknowledged (turn.now());
+    const bool isConfirmedByEstablished =
+        m_isAcknowledgedByEstablished && allReachableAcknowledged (turn.now());
     const bool isColdStart =
-        m_hasList && m_offsets.contains (m_membership.self().m_id) && haveEarlierAcknowledged();
+        m_hasList && m_offsets.contains (m_membership.self().m_id) && allEarlierAcknowledged();
 
-    if (! isWitnessed && ! isColdStart)
+    if (! isConfirmedByEstablished && ! isColdStart)
         return;
 
     m_isEstablished = true;
-    m_established (turn);
+    m_onEstablished (turn);
 }
 
-bool JoinProtocol::haveReachableAcknowledged (Time now) const
+bool JoinProtocol::allReachableAcknowledged (Time now) const
 {
     const auto peers = m_membership.peers();
     return std::all_of (peers.begin(), peers.end(), [&] (const Member& peer) {
-        const auto asked = m_firstAsked.find (peer.m_id.m_instance);
-        const bool isSilent = asked != m_firstAsked.end() && now - asked->second > silentAfter;
+        const auto firstRequest = m_firstRequestedAt.find (peer.m_id.m_instance);
+        const bool isTimedOut =
+            firstRequest != m_firstRequestedAt.end() && now - firstRequest->second > acknowledgementTimeout;
         return m_acknowledged.contains (peer.m_id) || m_unreachable.contains (peer.m_id.m_instance) ||
-               isSilent;
+               isTimedOut;
     });
 }
 
-bool JoinProtocol::haveEarlierAcknowledged() const
+bool JoinProtocol::allEarlierAcknowledged() const
 {
     const auto own = m_offsets.at (m_membership.self().m_id);
     const auto peers = m_membership.peers();
--- a/modules/plankledge_policy/membership/JoinProtocol.h
+++ b/modules/plankledge_policy/membership/JoinProtocol.h
@@ -12,18 +12,19 @@
 
 //==============================================================================
 /**
-    Brings a new node in: it runs non-repeatable work only once every member of its
-    service that it can reach, at least one of them established, has counted it in.
+    Joins a new node to its service. The node is established, and runs non-repeatable
+    calls, only once all members of its service that it can reach have acknowledged it,
+    at least one of them being established.
 
-    Where no member is established (a cold start), the order of the join stream takes
-    their place: a node is established once all that joined before it have counted
-    it in, or are known to be gone. With the log down too, it waits.
+    If no member is established (a cold start), the order of the join stream decides:
+    a node is established once all nodes that joined before it have acknowledged it or
+    have been removed. If the log is unavailable as well, the node waits.
 */
 class JoinProtocol
 {
 public:
     //==============================================================================
-    JoinProtocol (Membership& membership, RecordTable& records, std::function<void (Turn&)> established);
+    JoinProtocol (Membership& membership, RecordTable& records, std::function<void (Turn&)> onEstablished);
 
     void start (Turn& turn);
     void onTime (Turn& turn);
@@ -31,9 +32,9 @@
     void onJoinsRead (Turn& turn, const JoinsRead& read);
     void onPeerUnreachable (const InstanceName& instance) { m_unreachable.insert (instance); }
 
-    /** Another node joins: counts it in.
+    /** Adds another joining node to this node's view.
 
-        @returns the acknowledgement
+        @returns the acknowledgement to send to it
     */
     JoinAcknowledgement onRequest (Turn& turn, const JoinRequest& request) const;
 
@@ -43,23 +44,23 @@
 
 private:
     //==============================================================================
-    void askMissing (Turn& turn);
-    void removeVanished (Turn& turn);
-    void check (Turn& turn);
-    bool haveReachableAcknowledged (Time now) const;
-    bool haveEarlierAcknowledged() const;
+    void requestMissingAcknowledgements (Turn& turn);
+    void removeUnreachablePeers (Turn& turn);
+    void checkEstablished (Turn& turn);
+    bool allReachableAcknowledged (Time now) const;
+    bool allEarlierAcknowledged() const;
 
     Membership& m_membership;
     RecordTable& m_records;
-    std::function<void (Turn&)> m_established;
-    std::map<InstanceName, Time> m_firstAsked;
+    std::function<void (Turn&)> m_onEstablished;
+    std::map<InstanceName, Time> m_firstRequestedAt;
     std::set<NodeId> m_acknowledged;
-    std::set<InstanceName> m_unreachable; /**< in this round */
+    std::set<InstanceName> m_unreachable; /**< peers found unreachable since the last round of requests */
     std::map<NodeId, LogOffset> m_offsets;
     LogOffset m_nextOffset = 0;
     unsigned m_rounds = 0;
     bool m_hasList = false;
-    bool m_hasEstablishedWitness = false;
+    bool m_isAcknowledgedByEstablished = false;
     bool m_isEstablished = false;
 };
 
--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr Duration keepDeparted = std::chrono::minutes (10);
-constexpr Duration keepLost = std::chrono::hours (2); // longer than any record window that is accepted
+constexpr Duration departedRetention = std::chrono::minutes (10);
+constexpr Duration lostMemoryRetention = std::chrono::hours (2); // exceeds the longest accepted record window
 
 } // namespace
 
@@ -18,7 +18,7 @@
 Membership::Membership (const Member& self)
     : m_self (self)
 {
-    m_known[self.m_id.m_instance] = Known { self, false, false, {}, {}, {} };
+    m_known[self.m_id.m_instance] = KnownMember { self, false, false, {}, {}, {} };
     m_byService[self.m_service].insert (self.m_id.m_instance);
 }
 
@@ -42,7 +42,7 @@
 
     if (found == m_known.end())
     {
-        m_known[instance] = Known { member, false, false, now, now, {} };
+        m_known[instance] = KnownMember { member, false, false, now, now, {} };
         m_byService[member.m_service].insert (instance);
         onViewChanged();
         return true;
@@ -63,10 +63,10 @@
         if (isOwnService (known.m_member) && known.m_member.m_id.m_incarnation != 0)
             markLost (known.m_member.m_id, now);
 
-        // That a listed instance has a first life is no news: whoever needs it asks it.
+        // The first known incarnation of a listed instance is not gossiped: nodes learn it from the instance.
         const bool wasOnlyListed = known.m_member.m_id.m_incarnation == 0;
         known.m_acknowledgedByAll.reset();
-        known.m_lastHeard = now;
+        known.m_lastContact = now;
         known.m_member = member;
         onViewChanged();
         return ! wasOnlyListed || member.m_state == MemberState::leaving;
@@ -75,7 +75,7 @@
     if (member.m_stateVersion <= known.m_member.m_stateVersion)
         return false;
 
-    // That a joining member serves is no news either; who takes new work or no longer does, is.
+    // Only changes to or from the leaving state are gossiped.
     const bool wasLeaving = known.m_member.m_state == MemberState::leaving;
     known.m_member = member;
     return wasLeaving || member.m_state == MemberState::leaving;
@@ -83,7 +83,7 @@
 
 void Membership::onHeardFrom (const NodeId& id, Time now)
 {
-    // A node that was taken for gone by the list's word, and speaks, is not gone.
+    // A node that was removed because it was not listed, but still sends messages, has not departed.
     const auto departed = m_departed.find (id.m_instance);
 
     if (departed != m_departed.end() && ! departed->second.m_isPlanned)
@@ -94,7 +94,7 @@
     if (found == m_known.end())
         return;
 
-    found->second.m_lastHeard = now;
+    found->second.m_lastContact = now;
 
     if (id.m_incarnation > found->second.m_member.m_id.m_incarnation)
     {
@@ -107,11 +107,11 @@
 }
 
 //==============================================================================
-void Membership::listOne (const ListedInstance& listed, const NodeSettings& settings, Time now)
+void Membership::applyListedInstance (const ListedInstance& listed, const NodeSettings& settings, Time now)
 {
     const auto departed = m_departed.find (listed.m_instance);
     const bool mayBeStale =
-        departed != m_departed.end() && now - departed->second.m_at < settings.m_listLagBound;
+        departed != m_departed.end() && now - departed->second.m_departedAt < settings.m_listLagBound;
 
     if (! m_known.contains (listed.m_instance))
     {
@@ -136,21 +136,21 @@
     for (const auto& listed : list)
     {
         listedNames.insert (listed.m_instance);
-        listOne (listed, settings, now);
+        applyListedInstance (listed, settings, now);
     }
 
-    std::vector<NodeId> gone;
+    std::vector<NodeId> removed;
 
     for (auto& [instance, known] : m_known)
     {
-        const bool isSilent = now - known.m_lastHeard >= settings.m_silenceTimeout;
+        const bool isTimedOut = now - known.m_lastContact >= settings.m_silenceTimeout;
         const bool isSelf = instance == m_self.m_id.m_instance;
 
-        if (! isSelf && known.m_isListed && isSilent && ! listedNames.contains (instance))
-            gone.push_back (known.m_member.m_id);
+        if (! isSelf && known.m_isListed && isTimedOut && ! listedNames.contains (instance))
+            removed.push_back (known.m_member.m_id);
     }
 
-    for (const auto& id : gone)
+    for (const auto& id : removed)
     {
         if (isOwnService (m_known[id.m_instance].m_member))
             markLost (id, now);
@@ -158,7 +158,7 @@
         remove (id.m_instance, now);
     }
 
-    return gone;
+    return removed;
 }
 
 void Membership::onLeft (const NodeId& id, Time now)
@@ -172,7 +172,7 @@
     departed = { std::max (departed.m_incarnation, id.m_incarnation), now, true };
 }
 
-void Membership::onVanished (const InstanceName& instance, Time now)
+void Membership::removeUnreachable (const InstanceName& instance, Time now)
 {
     const auto found = m_known.find (instance);
 
@@ -248,7 +248,7 @@
 
 std::vector<Member> Membership::peers() const
 {
-    auto members = ownService();
+    auto members = ownServiceMembers();
     std::erase_if (members, [this] (const Member& member) { return member.m_id == m_self.m_id; });
     return members;
 }
@@ -272,7 +272,7 @@
     return result;
 }
 
-std::vector<Member> Membership::ownService() const
+std::vector<Member> Membership::ownServiceMembers() const
 {
     std::vector<Member> result;
 
@@ -326,7 +326,7 @@
     return firstCandidates (std::move (members), keyHash);
 }
 
-std::vector<Member> Membership::heirsOf (std::uint64_t keyHash) const
+std::vector<Member> Membership::successorsOf (std::uint64_t keyHash) const
 {
     return firstCandidates (peers(), keyHash);
 }
@@ -339,7 +339,7 @@
     });
 }
 
-bool Membership::isAcknowledged (const Known& known, Duration window, Time now) const
+bool Membership::isAcknowledged (const KnownMember& known, Duration window, Time now) const
 {
     return known.m_acknowledgedByAll.has_value() && *known.m_acknowledgedByAll + window <= now;
 }
@@ -348,23 +348,23 @@
                                std::optional<Duration> window, Time now) const
 {
     const auto weight = rendezvousWeight (keyHash, instance);
-    std::size_t above = 0;
+    std::size_t ahead = 0;
 
     for (const auto& name : m_byService.at (m_self.m_service))
     {
         const bool rulesOut = ! window.has_value() || isAcknowledged (m_known.at (name), *window, now);
 
         if (name != instance && rendezvousWeight (keyHash, name) > weight && rulesOut)
-            ++above;
+            ++ahead;
     }
 
-    return above < candidatesPerKey;
+    return ahead < candidatesPerKey;
 }
 
-bool Membership::hasLostMemory (std::uint64_t keyHash, Time born, Duration window, Time now) const
+bool Membership::hasLostMemory (std::uint64_t keyHash, Time earliestSent, Duration window, Time now) const
 {
     return std::any_of (m_lost.begin(), m_lost.end(), [&] (const auto& lost) {
-        return lost.second > born && couldHaveRun (keyHash, lost.first.m_instance, window, now);
+        return lost.second > earliestSent && couldHaveRun (keyHash, lost.first.m_instance, window, now);
     });
 }
 
@@ -389,18 +389,18 @@
     return value;
 }
 
-void Membership::onDigest (const InstanceName& peer, std::uint64_t theirs, Time now)
+void Membership::onDigest (const InstanceName& peer, std::uint64_t peerDigest, Time now)
 {
-    if (theirs != digest())
+    if (peerDigest != digest())
     {
-        m_agreeing.erase (peer);
+        m_agreeingPeers.erase (peer);
         return;
     }
 
-    m_agreeing.insert (peer);
+    m_agreeingPeers.insert (peer);
 
     for (const auto& instance : m_byService.at (m_self.m_service))
-        if (instance != m_self.m_id.m_instance && ! m_agreeing.contains (instance))
+        if (instance != m_self.m_id.m_instance && ! m_agreeingPeers.contains (instance))
             return;
 
     for (const auto& instance : m_byService.at (m_self.m_service))
@@ -414,9 +414,10 @@
 
 void Membership::removeExpired (Time now)
 {
-    std::erase_if (m_lost, [now] (const auto& lost) { return now - lost.second > keepLost; });
-    std::erase_if (m_departed,
-                   [now] (const auto& departed) { return now - departed.second.m_at > keepDeparted; });
+    std::erase_if (m_lost, [now] (const auto& lost) { return now - lost.second > lostMemoryRetention; });
+    std::erase_if (m_departed, [now] (const auto& departed) {
+        return now - departed.second.m_departedAt > departedRetention;
+    });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -10,17 +10,18 @@
 namespace plankledge
 {
 
-/** A key's candidates: the first so many instances of its service in the key's rendezvous order. */
+/** Number of candidates of a key: the first instances of its service in the key's rendezvous order. */
 inline constexpr std::size_t candidatesPerKey = 2;
 
 //==============================================================================
 /**
-    The instances a node knows, this one included, and the lives of its own
-    service's nodes whose records were lost.
+    This node's view of the cluster: all known instances, this one included, and the
+    incarnations of its own service that ended without handing over their records
+    (lost memories).
 
-    Sources: the platform's list, rumours, the join stream, and what members say
-    directly. A newer incarnation replaces an older one, whose memory is then lost;
-    a planned leaver hands its records over and loses nothing.
+    The view is built from the platform's list, gossip, the join stream and messages
+    of the members. A newer incarnation of an instance replaces the older one, whose
+    memory then counts as lost. A node that leaves as planned hands its records over.
 */
 class Membership
 {
@@ -28,51 +29,52 @@
     //==============================================================================
     explicit Membership (const Member& self);
 
-    /** Takes in what somebody says of a member.
+    /** Merges information on a member, from itself or from another node.
 
-        @returns whether that was news, to be passed on
+        @returns whether this is an update that gossip should pass on
     */
     bool learn (const Member& member, Time now);
 
-    /** Notes that this life of an instance was heard from just now. */
+    /** Updates the time of the last message from this incarnation of an instance. */
     void onHeardFrom (const NodeId& id, Time now);
 
-    /** Takes in the platform's list.
+    /** Merges the platform's list of instances.
 
-        @returns the members that are gone without leave, by the list's word
+        @returns the members removed because they are no longer listed and have sent nothing within the
+                 silence timeout
     */
     std::vector<NodeId> onList (const std::vector<ListedInstance>& list, const NodeSettings& settings,
                                 Time now);
 
-    /** A member has left with its records handed over. */
+    /** Removes a member that has left after handing over its records. */
     void onLeft (const NodeId& id, Time now);
 
-    /** The member never came up: nothing lists it and nobody reaches it. */
-    void onVanished (const InstanceName& instance, Time now);
+    /** Removes a member that is neither listed nor reachable. The memory of a peer counts as lost. */
+    void removeUnreachable (const InstanceName& instance, Time now);
 
-    /** A memory was lost, by another's word. */
+    /** Merges a lost memory that another node reported. */
     void onLost (const LostMemory& lost, Time now);
 
-    /** Changes this node's own state, which counts as news. */
+    /** Changes this node's own state and increments its state version. */
     void setOwnState (MemberState state);
 
     //==============================================================================
     const Member& self() const noexcept { return m_self; }
 
-    /** @returns the member or nullptr */
+    /** @returns the member, or nullptr if unknown */
     const Member* find (const InstanceName& instance) const;
 
-    /** @returns all members but this node */
+    /** @returns all members except this node */
     std::vector<Member> others() const;
 
     /** @returns the other members of this node's service, leaving ones included */
     std::vector<Member> peers() const;
 
-    /** @returns the service's members that take new work, this node included */
+    /** @returns the service's members that accept new requests; may include this node */
     std::vector<Member> acceptingRequests (const ServiceName& service) const;
 
     /** @returns the members of this node's service, this node included */
-    std::vector<Member> ownService() const;
+    std::vector<Member> ownServiceMembers() const;
 
     /** @returns whether the platform lists the instance */
     bool isListed (const InstanceName& instance) const;
@@ -80,77 +82,80 @@
     /** @returns whether the platform lists the instance as leaving */
     bool isListedLeaving (const InstanceName& instance) const;
 
-    /** @returns when the instance was first known; nullopt if it is not */
+    /** @returns when the instance became known; nullopt if it is unknown */
     std::optional<Time> knownSince (const InstanceName& instance) const;
 
     std::size_t size() const noexcept { return m_known.size(); }
 
     //==============================================================================
-    /** @returns the key's candidates in their order, reachable or not */
+    /** @returns the key's candidates in rendezvous order, reachable or not */
     std::vector<Member> candidatesFor (std::uint64_t keyHash, const ServiceName& service) const;
 
-    /** @returns who takes over what this node knows of the key once it has left */
-    std::vector<Member> heirsOf (std::uint64_t keyHash) const;
+    /** @returns the peers that become the key's candidates once this node has left */
+    std::vector<Member> successorsOf (std::uint64_t keyHash) const;
 
-    /** @returns whether this node is one of the key's candidates, in its own view */
+    /** @returns whether this node's view has it as a candidate of the key */
     bool isCandidate (std::uint64_t keyHash) const;
 
-    /** Tells who must be asked about a key.
+    /** Determines whether an inquiry about a key must include an instance of this service.
 
-        @param window   only members known to all for so long rule others out; nullopt: any member does
-        @returns whether the instance of this service may have run the key in somebody's view
+        @param window   an instance is ruled out only by higher ranked members that all peers have
+       acknowledged for at least this long; nullopt: by any higher ranked members
+        @returns whether the instance may have run the key according to some member's view
     */
     bool couldHaveRun (std::uint64_t keyHash, const InstanceName& instance, std::optional<Duration> window,
                        Time now) const;
 
-    /** @returns whether a lost memory younger than born could have held the key */
-    bool hasLostMemory (std::uint64_t keyHash, Time born, Duration window, Time now) const;
+    /** @returns whether a memory lost after earliestSent could have held a record of the key */
+    bool hasLostMemory (std::uint64_t keyHash, Time earliestSent, Duration window, Time now) const;
 
     std::vector<LostMemory> lostMemories (Time now) const;
 
     //==============================================================================
-    /** @returns a hash of the lives of this service's members, to compare views by */
+    /** @returns a hash of the names and incarnations of this service's members, for comparing views */
     std::uint64_t digest() const;
 
-    /** Compares views with a peer; once all peers agree, all members count as acknowledged by all. */
+    /** Compares this node's view with a peer's. Once all peers agree, all members of the service count as
+        acknowledged by all.
+    */
     void onDigest (const InstanceName& peer, std::uint64_t digest, Time now);
 
     void removeExpired (Time now);
 
 private:
     //==============================================================================
-    struct Known
+    struct KnownMember
     {
         Member m_member;
         bool m_isListed = false;
         bool m_isListedLeaving = false;
         Time m_since;
-        Time m_lastHeard;
+        Time m_lastContact;
         std::optional<Time> m_acknowledgedByAll;
     };
 
-    struct Departed
+    struct DepartedInstance
     {
         Incarnation m_incarnation = 0;
-        Time m_at;
+        Time m_departedAt;
         bool m_isPlanned = false;
     };
 
     bool isOwnService (const Member& member) const { return member.m_service == m_self.m_service; }
     static std::vector<Member> firstCandidates (std::vector<Member> members, std::uint64_t keyHash);
-    void onViewChanged() { m_agreeing.clear(); }
+    void onViewChanged() { m_agreeingPeers.clear(); }
     void remove (const InstanceName& instance, Time now);
     void markLost (const NodeId& id, Time at);
     bool hasDeparted (const NodeId& id) const;
-    void listOne (const ListedInstance& listed, const NodeSettings& settings, Time now);
-    bool isAcknowledged (const Known& known, Duration window, Time now) const;
+    void applyListedInstance (const ListedInstance& listed, const NodeSettings& settings, Time now);
+    bool isAcknowledged (const KnownMember& known, Duration window, Time now) const;
 
     Member m_self;
-    std::map<InstanceName, Known> m_known;
+    std::map<InstanceName, KnownMember> m_known;
     std::map<ServiceName, std::set<InstanceName>> m_byService;
     std::map<NodeId, Time> m_lost;
-    std::map<InstanceName, Departed> m_departed;
-    std::set<InstanceName> m_agreeing;
+    std::map<InstanceName, DepartedInstance> m_departed;
+    std::set<InstanceName> m_agreeingPeers;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/membership/Rumours.cpp
+++ b/modules/plankledge_policy/membership/Rumours.cpp
@@ -8,31 +8,30 @@
 namespace
 {
 
-constexpr unsigned sendsPerNews =
-    10; // to two receivers each: at 830 members all hear of it with some to spare
-constexpr std::size_t newsPerRumour = 3;
+constexpr unsigned transmissionsPerUpdate = 10; // to two receivers each, reaches clusters of 830 members
+constexpr std::size_t maxUpdatesPerMessage = 3;
 
 } // namespace
 
 //==============================================================================
 void Rumours::addNews (const Member& member)
 {
-    m_news[member.m_id.m_instance] = { member, sendsPerNews };
+    m_news[member.m_id.m_instance] = { member, transmissionsPerUpdate };
 }
 
-void Rumours::spread (Turn& turn, ConfigurationVersion version, std::size_t receivers)
+void Rumours::spread (Turn& turn, ConfigurationVersion version, std::size_t fanout)
 {
     const auto others = m_membership.others();
 
     if (others.empty())
         return;
 
-    const auto news = takeNews();
+    const auto updates = takeUpdates();
 
-    for (std::size_t index = 0; index < receivers; ++index)
+    for (std::size_t index = 0; index < fanout; ++index)
     {
         const auto& receiver = others[turn.random().below (others.size())];
-        turn.emit (SendRumour { receiver.m_endpoint, { m_membership.self(), version, news } });
+        turn.emit (SendRumour { receiver.m_endpoint, { m_membership.self(), version, updates } });
     }
 }
 
@@ -48,28 +47,29 @@
             addNews (member);
 }
 
-std::vector<Member> Rumours::takeNews()
+std::vector<Member> Rumours::takeUpdates()
 {
-    std::vector<News*> freshest;
+    std::vector<PendingUpdate*> leastSent;
 
-    for (auto& [instance, news] : m_news)
-        freshest.push_back (&news);
+    for (auto& [instance, update] : m_news)
+        leastSent.push_back (&update);
 
-    // What was sent least goes first, so that a backlog never holds up what is new.
-    std::stable_sort (freshest.begin(), freshest.end(), [] (const News* left, const News* right) {
-        return left->m_sendsLeft > right->m_sendsLeft;
-    });
-    freshest.resize (std::min (freshest.size(), newsPerRumour));
+    // The least sent updates go first, so that a backlog does not delay new ones.
+    std::stable_sort (leastSent.begin(), leastSent.end(),
+                      [] (const PendingUpdate* left, const PendingUpdate* right) {
+                          return left->m_transmissionsLeft > right->m_transmissionsLeft;
+                      });
+    leastSent.resize (std::min (leastSent.size(), maxUpdatesPerMessage));
 
     std::vector<Member> result;
 
-    for (auto* news : freshest)
+    for (auto* update : leastSent)
     {
-        result.push_back (news->m_member);
-        --news->m_sendsLeft;
+        result.push_back (update->m_member);
+        --update->m_transmissionsLeft;
     }
 
-    std::erase_if (m_news, [] (const auto& entry) { return entry.second.m_sendsLeft == 0; });
+    std::erase_if (m_news, [] (const auto& entry) { return entry.second.m_transmissionsLeft == 0; });
     return result;
 }
 
--- a/modules/plankledge_policy/membership/Rumours.h
+++ b/modules/plankledge_policy/membership/Rumours.h
@@ -9,11 +9,11 @@
 
 //==============================================================================
 /**
-    Spreads what changed among the members, and which version of the declarations
-    is in force, by small datagrams to a few random others at a fixed period.
+    Gossip protocol: periodically sends membership updates and the version of the
+    declarations in force to a few random members, in small datagrams.
 
-    A piece of news is passed on a limited number of times by each node that
-    learnt it, so that the traffic of a node does not grow with the cluster.
+    Each node passes an update on a limited number of times, so that its traffic does
+    not grow with the size of the cluster.
 */
 class Rumours
 {
@@ -24,33 +24,36 @@
     {
     }
 
-    /** Passes a member's news on from now on. */
+    /** Queues a member's new state for the next transmissions. */
     void addNews (const Member& member);
 
-    /** Sends to a few random members. */
-    void spread (Turn& turn, ConfigurationVersion version, std::size_t receivers);
+    /** Sends the least sent updates to random members.
 
-    /** Takes in a rumour: its sender and its news. */
+        @param fanout   number of receivers
+    */
+    void spread (Turn& turn, ConfigurationVersion version, std::size_t fanout);
+
+    /** Merges a received message: its sender's state and its updates. */
     void onRumour (Turn& turn, const Rumour& rumour);
 
-    /** Receivers at every period. */
+    /** Number of receivers in each period. */
     static constexpr std::size_t usualReceivers = 2;
 
-    /** Receivers at once when this node itself has urgent news. */
+    /** Number of receivers of an urgent update, which is sent at once. */
     static constexpr std::size_t urgentReceivers = 5;
 
 private:
     //==============================================================================
-    struct News
+    struct PendingUpdate
     {
         Member m_member;
-        unsigned m_sendsLeft = 0;
+        unsigned m_transmissionsLeft = 0;
     };
 
-    std::vector<Member> takeNews();
+    std::vector<Member> takeUpdates();
 
     Membership& m_membership;
-    std::map<InstanceName, News> m_news;
+    std::map<InstanceName, PendingUpdate> m_news;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/once/RecordTable.cpp
@@ -14,10 +14,10 @@
 }
 
 void RecordTable::begin (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
-                         Duration window)
+                         Duration retention)
 {
     assert (! m_records.contains (key));
-    m_records[key] = Record { state, bodyHash, call, {}, window, {} };
+    m_records[key] = Record { state, bodyHash, call, {}, retention, {} };
 }
 
 void RecordTable::setRunning (const std::string& key)
@@ -32,7 +32,7 @@
     auto& record = m_records[key];
     record.m_state = RecordState::completed;
     record.m_result = result;
-    record.m_expires = now + record.m_window;
+    record.m_expiresAt = now + record.m_retention;
 }
 
 void RecordTable::setBroken (const std::string& key, const CallResult& result, Time now)
@@ -40,7 +40,7 @@
     auto& record = m_records[key];
     record.m_state = RecordState::broken;
     record.m_result = result;
-    record.m_expires = now + record.m_window;
+    record.m_expiresAt = now + record.m_retention;
 }
 
 //==============================================================================
@@ -78,14 +78,14 @@
         const bool isFinished =
             record.m_state == RecordState::completed || record.m_state == RecordState::broken;
 
-        if (isFinished && record.m_expires > now)
-            copies.push_back ({ key, record.m_bodyHash, record.m_result, record.m_expires - now });
+        if (isFinished && record.m_expiresAt > now)
+            copies.push_back ({ key, record.m_bodyHash, record.m_result, record.m_expiresAt - now });
     }
 
     return copies;
 }
 
-std::vector<Fence> RecordTable::liveFences (Time now) const
+std::vector<Fence> RecordTable::activeFences (Time now) const
 {
     std::vector<Fence> fences;
 
@@ -96,15 +96,15 @@
     return fences;
 }
 
-std::vector<Fence> RecordTable::fencesForJoiner (Time now) const
+std::vector<Fence> RecordTable::fencesForJoiningNode (Time now) const
 {
-    auto fences = liveFences (now);
+    auto fences = activeFences (now);
 
     for (const auto& [key, record] : m_records)
     {
-        const bool isOpen =
+        const bool isInProgress =
             record.m_state == RecordState::inquiring || record.m_state == RecordState::running;
-        const auto left = isOpen ? record.m_window : record.m_expires - now;
+        const auto left = isInProgress ? record.m_retention : record.m_expiresAt - now;
 
         if (left > Duration::zero())
             fences.push_back ({ hashText (key), left });
@@ -120,7 +120,7 @@
         const auto& record = entry.second;
         const bool isFinished =
             record.m_state == RecordState::completed || record.m_state == RecordState::broken;
-        return isFinished && record.m_expires <= now;
+        return isFinished && record.m_expiresAt <= now;
     });
 }
 
--- a/modules/plankledge_policy/once/RecordTable.h
+++ b/modules/plankledge_policy/once/RecordTable.h
@@ -10,70 +10,76 @@
 {
 
 //==============================================================================
-/** What a node knows of a key. */
+/** State of the idempotency record of a key. */
 enum class RecordState : std::uint8_t
 {
-    inquiring, /**< it asks others whether they know the key */
-    running,   /**< admitted here: it runs or will run */
-    completed, /**< the answer is kept */
-    broken     /**< it may have run; its answer will never be known */
+    inquiring, /**< peers are asked whether they have a record of the key */
+    running,   /**< the call was admitted on this node: it is queued or running */
+    completed, /**< the result is stored */
+    broken     /**< the call may have run, but its result is lost */
 };
 
-/** One key's record. */
+/** The idempotency record of a key. */
 struct Record
 {
     RecordState m_state = RecordState::running;
     std::uint64_t m_bodyHash = 0;
-    CallId m_call = 0;   /**< while inquiring or running */
-    CallResult m_result; /**< once completed or broken */
-    Duration m_window {};
-    Time m_expires; /**< once completed or broken */
+    CallId m_call = 0;   /**< valid while inquiring or running */
+    CallResult m_result; /**< valid once completed or broken */
+    Duration m_retention {};
+    Time m_expiresAt; /**< valid once completed or broken */
 };
 
 //==============================================================================
 /**
-    The idempotency records and fences of one node, all in memory.
+    The idempotency records and fences of a node, held in memory only.
 
-    A fence promises that a first attempt of the key never runs here. Expired
-    records and fences are dropped by removeExpired.
+    A fence guarantees that a first attempt with the key does not run on this node
+    until the fence expires.
 */
 class RecordTable
 {
 public:
     //==============================================================================
-    /** @returns the key's record or nullptr; valid until the next change */
+    /** @returns the record of the key, or nullptr; valid until the next change of the table */
     const Record* find (const std::string& key) const;
 
+    /** Adds a record for a key that has none.
+
+        @param retention   how long the result is stored
+    */
     void begin (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
-                Duration window);
+                Duration retention);
 
-    /** The inquiry ended well: the call may run. */
+    /** Marks an inquiring record as running. */
     void setRunning (const std::string& key);
 
-    /** Keeps the answer for the record window. */
+    /** Stores the result of a completed call. */
     void complete (const std::string& key, const CallResult& result, Time now);
 
-    /** The call may have run, and its answer is lost. */
+    /** Marks a call that may have run and whose result is lost. */
     void setBroken (const std::string& key, const CallResult& result, Time now);
 
-    /** The call did not run. */
+    /** Removes the record of a call that did not run. */
     void erase (const std::string& key) { m_records.erase (key); }
 
+    /** Sets the fence of a key, or extends it. */
     void fence (std::uint64_t keyHash, Time until);
     bool isFenced (const std::string& key, Time now) const;
 
-    /** Takes over a leaver's record; one that is already here stays. */
+    /** Imports a record from a leaving node, unless the key has a record here that is not inquiring. */
     void adopt (const RecordCopy& copy, Time now);
 
-    /** @returns what a leaver hands over: finished records */
+    /** @returns copies of the unexpired completed and broken records, for the handover */
     std::vector<RecordCopy> finishedRecords (Time now) const;
 
-    std::vector<Fence> liveFences (Time now) const;
+    std::vector<Fence> activeFences (Time now) const;
+
+    /** A key that was retried on this node must not run as a first attempt on a joining node.
 
-    /** @returns fences for all that is fenced or known here, for a node that joins: a first attempt of a key
-       whose resending ran here must not run there
+        @returns the active fences, and a fence for each recorded key
     */
-    std::vector<Fence> fencesForJoiner (Time now) const;
+    std::vector<Fence> fencesForJoiningNode (Time now) const;
 
     void removeExpired (Time now);
 
--- a/tests/calls/InboundCallTable_test.cpp
+++ b/tests/calls/InboundCallTable_test.cpp
@@ -27,40 +27,40 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a call is found by its number, by who waits for it and by its request id, until it is taken")
+TEST_CASE ("a call is found by its id, its origins and its request id until it is taken")
 {
     detail::InboundCallTable table;
     const auto id = table.add (callOf (first), incarnation);
     table.attach (id, second);
     const auto requestId = table.at (id).m_requestId;
-    CHECK (table.waitedForBy (first) == id);
-    CHECK (table.waitedForBy (second) == id);
-    CHECK (table.withRequestId (requestId) == id);
+    CHECK (table.findByOrigin (first) == id);
+    CHECK (table.findByOrigin (second) == id);
+    CHECK (table.findByRequestId (requestId) == id);
 
     const auto call = table.take (id);
     CHECK (call.m_waiters == std::vector<Origin> { first, second });
     CHECK (table.find (id) == nullptr);
-    CHECK_FALSE (table.waitedForBy (first).has_value());
-    CHECK_FALSE (table.waitedForBy (second).has_value());
-    CHECK_FALSE (table.withRequestId (requestId).has_value());
+    CHECK_FALSE (table.findByOrigin (first).has_value());
+    CHECK_FALSE (table.findByOrigin (second).has_value());
+    CHECK_FALSE (table.findByRequestId (requestId).has_value());
     CHECK (table.isEmpty());
 }
 
-TEST_CASE ("who waits no longer is not found, and the call stays")
+TEST_CASE ("a detached origin is not found any more, and the call stays")
 {
     detail::InboundCallTable table;
     const auto id = table.add (callOf (first), incarnation);
     table.attach (id, second);
     table.detach (id, first);
-    CHECK_FALSE (table.waitedForBy (first).has_value());
+    CHECK_FALSE (table.findByOrigin (first).has_value());
     CHECK (table.at (id).m_waiters == std::vector<Origin> { second });
 
     CHECK (table.detachAll (id) == std::vector<Origin> { second });
-    CHECK_FALSE (table.waitedForBy (second).has_value());
+    CHECK_FALSE (table.findByOrigin (second).has_value());
     CHECK (table.size() == 1);
 }
 
-TEST_CASE ("request ids differ between calls and between lives of a node")
+TEST_CASE ("request ids differ between calls and between incarnations of a node")
 {
     detail::InboundCallTable table;
     const auto one = table.add (callOf (first), incarnation);
@@ -72,16 +72,16 @@
     CHECK (later.at (again).m_requestId != table.at (one).m_requestId);
 }
 
-TEST_CASE ("only those of a link, and only calls that are asked about, are listed")
+TEST_CASE ("only origins of the given link and calls with a pending inquiry are listed")
 {
     using Stage = detail::InboundCall::Stage;
     detail::InboundCallTable table;
-    const auto asked = table.add (callOf (first, "key", Stage::inquiring), incarnation);
+    const auto inquiringId = table.add (callOf (first, "key", Stage::inquiring), incarnation);
     table.add (callOf (second, "key", Stage::running), incarnation);
-    CHECK (table.originsOf (1) == std::vector<Origin> { first });
-    CHECK (table.originsOf (3).empty());
-    CHECK (table.inquiringFor ({ hashText ("key") }) == std::vector<CallId> { asked });
-    CHECK (table.inquiringFor ({ hashText ("other") }).empty());
+    CHECK (table.originsOnLink (1) == std::vector<Origin> { first });
+    CHECK (table.originsOnLink (3).empty());
+    CHECK (table.inquiringCalls ({ hashText ("key") }) == std::vector<CallId> { inquiringId });
+    CHECK (table.inquiringCalls ({ hashText ("other") }).empty());
 }
 
 } // namespace plankledge::test
