--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -51,7 +51,10 @@
                   Hooks hooks);
 
     //==============================================================================
+    /** Admits, queues, attaches or refuses a call. */
     void receive (Turn& turn, const Origin& origin, const CallRequest& request);
+
+    /** Detaches an origin; a repeatable or undispatched call without origins is cancelled. */
     void cancel (Turn& turn, const Origin& origin);
     void onLinkClosed (Turn& turn, LinkId link);
 
@@ -64,8 +67,13 @@
     /** Imports the records and fences of a leaving node and acknowledges them. */
     void onHandover (Turn& turn, LinkId link, const NodeId& from, const Handover& handover);
 
+    /** Ends a call at its deadline; a running non-repeatable call continues without origins. */
     void onDeadline (Turn& turn, CallId call);
+
+    /** Cancels a non-repeatable call that still runs after its deadline and its record retention. */
     void onAbandonTime (Turn& turn, CallId call);
+
+    /** Updates the admission threshold at the end of a measurement window. */
     void onWindowEnd (Turn& turn);
 
     /** @returns the gate that decides whether new calls are accepted */
--- a/modules/plankledge_policy/calls/OutgoingCalls.h
+++ b/modules/plankledge_policy/calls/OutgoingCalls.h
@@ -45,9 +45,19 @@
     static void refuse (Turn& turn, const RequestReceived& request, Reason reason);
 
     void onAnswer (Turn& turn, const InstanceName& from, const CallAnswer& answer);
+
+    /** Fails calls that were not delivered to an unreachable peer; they did not run.
+
+        @param calls   ids of the undelivered calls
+    */
     void onPeerUnreachable (Turn& turn, const InstanceName& instance, const std::vector<CallId>& calls);
+
+    /** Fails all calls sent to a peer whose connection was lost; they may have run. */
     void onPeerLost (Turn& turn, const InstanceName& instance);
+
     void onDeadline (Turn& turn, CallId request);
+
+    /** Cancels the nested requests of an inbound call that has ended. */
     void cancelChildrenOf (Turn& turn, CallId parent);
 
     bool isIdle() const noexcept { return m_requests.empty(); }
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -52,7 +52,7 @@
     /** Removes a member that is neither listed nor reachable. The memory of a peer counts as lost. */
     void removeUnreachable (const InstanceName& instance, Time now);
 
-    /** Merges a lost memory that another node reported. */
+    /** Records a lost memory that another node reported. */
     void onLost (const LostMemory& lost, Time now);
 
     /** Changes this node's own state and increments its state version. */
--- a/modules/plankledge_policy/once/InquiryCoordinator.h
+++ b/modules/plankledge_policy/once/InquiryCoordinator.h
@@ -37,6 +37,7 @@
 
     InquiryCoordinator (Membership& membership, RecordTable& records, OnFinished onFinished);
 
+    /** Sends inquiries to all peers that may have run the key. */
     void startInquiry (Turn& turn, const KeyQuery& query);
 
     void onAnswer (Turn& turn, const NodeId& from, const InquiryAnswer& answer);
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/once/RecordTable.cpp
@@ -104,10 +104,10 @@
     {
         const bool isInProgress =
             record.m_state == RecordState::inquiring || record.m_state == RecordState::running;
-        const auto left = isInProgress ? record.m_retention : record.m_expiresAt - now;
+        const auto remaining = isInProgress ? record.m_retention : record.m_expiresAt - now;
 
-        if (left > Duration::zero())
-            fences.push_back ({ hashText (key), left });
+        if (remaining > Duration::zero())
+            fences.push_back ({ hashText (key), remaining });
     }
 
     return fences;
--- a/modules/plankledge_policy/once/RecordTable.h
+++ b/modules/plankledge_policy/once/RecordTable.h
@@ -77,7 +77,7 @@
 
     /** A key that was retried on this node must not run as a first attempt on a joining node.
 
-        @returns the active fences, and a fence for each recorded key
+        @returns the active fences, and a fence for each key with an unexpired record
     */
     std::vector<Fence> fencesForJoiningNode (Time now) const;
 
