--- a/modules/plankledge_runtime/Acceptor.h
+++ b/modules/plankledge_runtime/Acceptor.h
@@ -7,9 +7,9 @@
 namespace plankledge
 {
 
-/** Binds an acceptor and starts to listen; included by the servers' sources only.
+/** Binds an acceptor to an address and starts listening.
 
-    @returns unavailable, with the system's reason, where the address can't be bound
+    @returns UnavailableError with the system's error message if the address cannot be bound
 */
 absl::Status openAcceptor (boost::asio::ip::tcp::acceptor& acceptor, const Endpoint& endpoint);
 
--- a/modules/plankledge_runtime/CallerEdge.cpp
+++ b/modules/plankledge_runtime/CallerEdge.cpp
@@ -52,25 +52,25 @@
     auto received = std::get<RequestReceived> (std::move (parsed));
     const auto ticket = m_node.newTicket();
     received.m_ticket = ticket;
-    m_waiting[ticket] = { std::move (respond), BootClock::now() };
+    m_pendingRequests[ticket] = { std::move (respond), BootClock::now() };
     m_node.submit (std::move (received));
 
     return [this, ticket] {
-        if (m_waiting.erase (ticket) > 0)
+        if (m_pendingRequests.erase (ticket) > 0)
             m_node.submit (CallerDisconnected { ticket });
     };
 }
 
 void CallerEdge::carryOut (const AnswerRequest& effect)
 {
-    const auto found = m_waiting.find (effect.m_ticket);
+    const auto found = m_pendingRequests.find (effect.m_ticket);
 
-    if (found == m_waiting.end())
+    if (found == m_pendingRequests.end())
         return;
 
-    m_metrics.m_requestTime.add (BootClock::now() - found->second.m_since);
+    m_metrics.m_requestTime.add (BootClock::now() - found->second.m_receivedAt);
     const auto respond = std::move (found->second.m_respond);
-    m_waiting.erase (found);
+    m_pendingRequests.erase (found);
     respond (makeCallerResponse (effect.m_result));
 }
 
--- a/modules/plankledge_runtime/CallerEdge.h
+++ b/modules/plankledge_runtime/CallerEdge.h
@@ -10,29 +10,29 @@
 {
 
 //==============================================================================
-/** Where a node meets its callers and its target's own calls, in the project's own interface. */
+/** Serves keyed requests over HTTP, from callers and from the local target (outbound calls). */
 class CallerEdge
 {
 public:
     //==============================================================================
     CallerEdge (boost::asio::io_context& context, Node& node, NodeMetrics& metrics);
 
-    /** @returns the error where an address can't be bound */
+    /** @returns the error if an address cannot be bound */
     absl::Status listen (const Endpoint& callers, const Endpoint& outbound);
 
     void stopListening() { m_callerServer.stopListening(); }
 
-    /** Asks callers to close their connections after the next answer. */
-    void closeAfterAnswers() { m_callerServer.closeAfterAnswers(); }
+    /** Closes each caller connection after its next response. */
+    void closeAfterResponses() { m_callerServer.closeAfterResponses(); }
 
     void carryOut (const AnswerRequest& effect);
 
 private:
     //==============================================================================
-    struct Waiting
+    struct PendingRequest
     {
         HttpServer::Respond m_respond;
-        Time m_since;
+        Time m_receivedAt;
     };
 
     HttpServer::Hooks hooks (bool isOutbound);
@@ -42,10 +42,10 @@
     NodeMetrics& m_metrics;
     HttpServer m_callerServer;
     HttpServer m_outboundServer;
-    std::map<Ticket, Waiting> m_waiting;
+    std::map<Ticket, PendingRequest> m_pendingRequests;
 };
 
-/** @returns the answer to a request whose HTTP is broken or too large */
+/** @returns the response to a request that is malformed HTTP or too large */
 HttpResponse makeHttpError (HttpServerError error);
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/CallerHttp.cpp
+++ b/modules/plankledge_runtime/CallerHttp.cpp
@@ -12,19 +12,19 @@
 namespace
 {
 
-constexpr std::uint64_t mostAttempts = 1000000;
-constexpr std::uint64_t longestAgeMs = 1000ULL * 3600 * 24 * 365;
-constexpr std::uint64_t longestTimeoutMs = 1000ULL * 3600;
-constexpr std::size_t longestSegment = 64;
+constexpr std::uint64_t maxAttempts = 1000000;
+constexpr std::uint64_t maxAgeMs = 1000ULL * 3600 * 24 * 365;
+constexpr std::uint64_t maxTimeoutMs = 1000ULL * 3600;
+constexpr std::size_t maxSegmentBytes = 64;
 
-/** Reads a whole number within bounds.
+/** Parses a header as an integer within bounds.
 
-    @returns nullopt where the header is not there
+    @returns nullopt if the header is missing
 */
 std::variant<std::optional<std::uint64_t>, CallerError> readNumber (const HttpHeaders& headers,
                                                                     std::string_view name,
-                                                                    std::uint64_t lowest,
-                                                                    std::uint64_t highest, CallerError error)
+                                                                    std::uint64_t minimum,
+                                                                    std::uint64_t maximum, CallerError error)
 {
     const auto text = findHeader (headers, name);
 
@@ -33,8 +33,8 @@
 
     std::uint64_t value = 0;
 
-    if (! absl::SimpleAtoi (absl::string_view (text.data(), text.size()), &value) || value < lowest ||
-        value > highest)
+    if (! absl::SimpleAtoi (absl::string_view (text.data(), text.size()), &value) || value < minimum ||
+        value > maximum)
         return error;
 
     return value;
@@ -46,7 +46,7 @@
                         [] (char character) { return character > ' ' && character < 127; });
 }
 
-/** Splits `/{service}/{operation…}`, the query left out. */
+/** Splits `/{service}/{operation…}`, ignoring the query. */
 bool readPath (std::string_view target, RequestContent& content)
 {
     const auto path = target.substr (0, target.find ('?'));
@@ -61,8 +61,8 @@
 
     content.m_service = std::string (path.substr (1, slash - 1));
     content.m_operation = std::string (path.substr (slash + 1));
-    return ! content.m_service.empty() && content.m_service.size() <= longestSegment &&
-           ! content.m_operation.empty() && content.m_operation.size() <= longestSegment;
+    return ! content.m_service.empty() && content.m_service.size() <= maxSegmentBytes &&
+           ! content.m_operation.empty() && content.m_operation.size() <= maxSegmentBytes;
 }
 
 } // namespace
@@ -96,11 +96,10 @@
     received.m_idempotency.m_key = std::string (key);
 
     const auto attempt =
-        readNumber (request.m_headers, "Plankledge-Attempt", 1, mostAttempts, CallerError::badAttempt);
-    const auto age =
-        readNumber (request.m_headers, "Plankledge-Age-Ms", 0, longestAgeMs, CallerError::badAge);
+        readNumber (request.m_headers, "Plankledge-Attempt", 1, maxAttempts, CallerError::badAttempt);
+    const auto age = readNumber (request.m_headers, "Plankledge-Age-Ms", 0, maxAgeMs, CallerError::badAge);
     const auto timeout =
-        readNumber (request.m_headers, "Plankledge-Timeout-Ms", 1, longestTimeoutMs, CallerError::badTimeout);
+        readNumber (request.m_headers, "Plankledge-Timeout-Ms", 1, maxTimeoutMs, CallerError::badTimeout);
 
     for (const auto& number : { attempt, age, timeout })
         if (const auto* error = std::get_if<CallerError> (&number))
--- a/modules/plankledge_runtime/CallerHttp.h
+++ b/modules/plankledge_runtime/CallerHttp.h
@@ -4,11 +4,11 @@
 #include "plankledge_runtime/Http.h"
 #include <variant>
 
-/** The caller's interface: HTTP headers to and from the reducer's values. */
+/** The HTTP interface for keyed requests: converts between HTTP messages and the reducer's types. */
 namespace plankledge
 {
 
-/** What is wrong with a caller's request; one counter each. */
+/** Reasons for which a caller's request is invalid. Each has its own counter. */
 enum class CallerError : std::uint8_t
 {
     badPath,
@@ -23,24 +23,24 @@
 /** @returns the name used in problem details and metrics, e.g. "bad-attempt" */
 std::string_view nameOf (CallerError error) noexcept;
 
-/** No longer idempotency key is taken. */
+/** The longest idempotency key that is accepted. */
 inline constexpr std::size_t maximumKeyBytes = 256;
 
 //==============================================================================
-/** Reads a request at the caller or outbound address; all but its ticket. */
+/** Parses a request to the caller or the outbound address. The ticket is not set. */
 std::variant<RequestReceived, CallerError> readCallerRequest (HttpRequest request, bool isOutbound);
 
-/** @returns the answer with its outcome, reason and come-back headers; a problem document where the system
- * answers */
+/** @returns the response with its outcome, reason and Retry-After headers; a problem document if the node
+    itself responds instead of the target */
 HttpResponse makeCallerResponse (const CallResult& result);
 
-/** @returns the answer to a request that is not one */
+/** @returns the response to an invalid request */
 HttpResponse makeBadRequest (CallerError error);
 
-/** @returns the answer to a request whose HTTP is broken or too large */
+/** @returns a problem document with its outcome and reason headers */
 HttpResponse makeProblem (std::uint16_t status, Outcome outcome, std::string_view reason);
 
-/** @returns the request to send to the target for a call */
+/** @returns the HTTP request that carries a call to the target */
 HttpRequest makeTargetRequest (const DispatchToTarget& dispatch);
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/Http.h
+++ b/modules/plankledge_runtime/Http.h
@@ -9,14 +9,14 @@
 namespace plankledge
 {
 
-/** Header names and values in their order. */
+/** Header names and values, in wire order. */
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/** @returns the first header of that name, whatever its case; empty where there is none */
+/** @returns the value of the first header of that name, ignoring case, or an empty string */
 std::string_view findHeader (const HttpHeaders& headers, std::string_view name) noexcept;
 
 //==============================================================================
-/** A whole HTTP/1.1 request. */
+/** A complete HTTP/1.1 request. */
 struct HttpRequest
 {
     std::string m_method = "GET";
@@ -26,20 +26,20 @@
     std::string m_body;
 };
 
-/** A whole HTTP/1.1 response. */
+/** A complete HTTP/1.1 response. */
 struct HttpResponse
 {
     std::uint16_t m_status = 200;
     HttpHeaders m_headers;
     std::string m_contentType = "application/json";
     std::string m_body;
-    bool m_closes = false; /**< the connection ends with it */
+    bool m_closes = false; /**< whether the connection closes after it */
 };
 
-/** No larger request or answer body is read. */
+/** The largest request or response body that is read. */
 inline constexpr std::size_t maximumBodyBytes = 1U << 20U;
 
-/** No larger header block is read. */
+/** The largest header section that is read. */
 inline constexpr std::size_t maximumHeaderBytes = 16U << 10U;
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/HttpClient.cpp
+++ b/modules/plankledge_runtime/HttpClient.cpp
@@ -24,27 +24,27 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::size_t maximumAnswerBytes = 16U << 20U;
+constexpr std::size_t maximumResponseBytes = 16U << 20U;
 
-/** A connection that is not up by then won't come: a lost opening packet is sent again after a second. */
-constexpr Duration connectLimit = Milliseconds (1500);
+/** Allows for one retransmission of the SYN, which is sent after 1 s. */
+constexpr Duration connectTimeout = Milliseconds (1500);
 
-/** Probes of a connection on which nothing is said: a peer without power or behind a cut never resets it.
-   With these figures a read that waits notices after 3 s. */
-constexpr int idleBeforeProbeSeconds = 1;
-constexpr int betweenProbesSeconds = 1;
-constexpr int unansweredProbes = 2;
+/** TCP keep-alive, for peers that lost power or are partitioned and so never reset the connection.
+    A pending read fails after 3 s. */
+constexpr int keepAliveIdleSeconds = 1;
+constexpr int keepAliveIntervalSeconds = 1;
+constexpr int keepAliveProbeCount = 2;
 
-void detectSilence (tcp::socket& socket)
+void enableKeepAlive (tcp::socket& socket)
 {
     using Idle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
     using Interval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
     using Count = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
     boost::system::error_code ignored;
     socket.set_option (asio::socket_base::keep_alive (true), ignored);
-    socket.set_option (Idle (idleBeforeProbeSeconds), ignored);
-    socket.set_option (Interval (betweenProbesSeconds), ignored);
-    socket.set_option (Count (unansweredProbes), ignored);
+    socket.set_option (Idle (keepAliveIdleSeconds), ignored);
+    socket.set_option (Interval (keepAliveIntervalSeconds), ignored);
+    socket.set_option (Count (keepAliveProbeCount), ignored);
 }
 
 absl::Status toStatus (const beast::error_code& error)
@@ -58,7 +58,7 @@
 asio::awaitable<void> run (Endpoint endpoint, HttpRequest request, Duration timeout, HttpClient::Done done)
 {
     beast::tcp_stream stream (co_await asio::this_coro::executor);
-    stream.expires_after (std::min (timeout, connectLimit));
+    stream.expires_after (std::min (timeout, connectTimeout));
     beast::error_code addressError;
     const auto address = asio::ip::make_address (endpoint.m_ip, addressError);
 
@@ -71,7 +71,7 @@
     if (connectError)
         co_return done (absl::UnavailableError (connectError.message()));
 
-    detectSilence (stream.socket());
+    enableKeepAlive (stream.socket());
     stream.expires_after (timeout);
     auto message = toMessage (std::move (request), endpoint);
     message.keep_alive (false);
@@ -82,7 +82,7 @@
 
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit (maximumAnswerBytes);
+    parser.body_limit (maximumResponseBytes);
     const auto [readError, size] = co_await http::async_read (stream, buffer, parser, asTuple);
 
     if (readError)
@@ -104,7 +104,7 @@
                                                       Duration timeout)
 {
     asio::io_context context;
-    absl::StatusOr<HttpResponse> result = absl::UnknownError ("not finished");
+    absl::StatusOr<HttpResponse> result = absl::UnknownError ("request did not complete");
     HttpClient (context).send (endpoint, std::move (request), timeout,
                                [&result] (auto answer) { result = std::move (answer); });
     context.run();
--- a/modules/plankledge_runtime/HttpClient.h
+++ b/modules/plankledge_runtime/HttpClient.h
@@ -15,7 +15,7 @@
 {
 
 //==============================================================================
-/** Sends single HTTP/1.1 requests, each on a connection of its own; for the platform and the admin pages. */
+/** Sends HTTP/1.1 requests, each on its own connection. Used for the platform and the admin pages. */
 class HttpClient
 {
 public:
@@ -29,13 +29,13 @@
 
     /** Sends a request.
 
-        @param timeout   for all of it, the connection included
-        @param done      gets the whole answer; or unavailable (not connected: nothing was sent), aborted
-                         (the connection broke after that), or deadline exceeded
+        @param timeout   of the whole exchange, including connection setup
+        @param done      receives the complete response, or an error: unavailable (not connected, so nothing
+                         was sent), aborted (the connection broke later), or deadline exceeded
     */
     void send (const Endpoint& endpoint, HttpRequest request, Duration timeout, Done done);
 
-    /** Sends a request and waits for its end; for programs that do nothing else meanwhile. */
+    /** Sends a request and blocks until it completes. */
     static absl::StatusOr<HttpResponse> sendAndWait (const Endpoint& endpoint, HttpRequest request,
                                                      Duration timeout);
 
--- a/modules/plankledge_runtime/HttpMessages.h
+++ b/modules/plankledge_runtime/HttpMessages.h
@@ -4,15 +4,15 @@
 #include "plankledge_runtime/Http.h"
 #include <boost/beast/http.hpp>
 
-/** Between the project's HTTP values and Beast's messages; included by the HTTP clients' sources only. */
+/** Converts between this module's HTTP types and those of Boost.Beast. Internal to the HTTP clients. */
 namespace plankledge
 {
 
-/** @returns Beast's form of a request, its body's length set */
+/** @returns the Beast message for a request, with Host and Content-Length set */
 boost::beast::http::request<boost::beast::http::string_body> toMessage (HttpRequest request,
                                                                         const Endpoint& endpoint);
 
-/** @returns the project's form of a whole answer */
+/** @returns the response that a complete Beast message holds */
 HttpResponse toResponse (boost::beast::http::response<boost::beast::http::string_body> message);
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/HttpServer.cpp
+++ b/modules/plankledge_runtime/HttpServer.cpp
@@ -28,24 +28,24 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::chrono::seconds idleLimit { 120 };
-constexpr std::chrono::seconds writeLimit { 30 };
-constexpr std::chrono::seconds discardLimit { 2 };
-constexpr std::size_t mostDiscardedBytes = 8U << 20U;
+constexpr std::chrono::seconds idleTimeout { 120 };
+constexpr std::chrono::seconds writeTimeout { 30 };
+constexpr std::chrono::seconds discardTimeout { 2 };
+constexpr std::size_t maxDiscardedBytes = 8U << 20U;
 
-/** One request that waits for its answer. */
-struct Exchange
+/** A request that waits for its response. */
+struct PendingExchange
 {
-    explicit Exchange (const asio::any_io_executor& executor)
-        : m_wake (executor)
+    explicit PendingExchange (const asio::any_io_executor& executor)
+        : m_responseReady (executor)
     {
-        m_wake.expires_at (asio::steady_timer::time_point::max());
+        m_responseReady.expires_at (asio::steady_timer::time_point::max());
     }
 
     std::optional<HttpResponse> m_response;
-    std::function<void()> m_onGone;
-    asio::steady_timer m_wake;
-    bool m_isGone = false;
+    std::function<void()> m_onDisconnect;
+    asio::steady_timer m_responseReady;
+    bool m_isDisconnected = false;
 };
 
 HttpRequest toRequest (http::request<http::string_body> message)
@@ -139,12 +139,12 @@
             http::request_parser<http::string_body> parser;
             parser.header_limit (maximumHeaderBytes);
             parser.body_limit (maximumBodyBytes);
-            stream.expires_after (idleLimit);
+            stream.expires_after (idleTimeout);
             const auto [error, size] = co_await http::async_read (stream, buffer, parser, asTuple);
 
             if (error)
             {
-                co_await answerError (stream, error);
+                co_await respondToError (stream, error);
                 break;
             }
 
@@ -155,9 +155,9 @@
             if (! response.has_value())
                 break;
 
-            keepAlive = keepAlive && ! response->m_closes && ! m_closesAfterAnswers;
+            keepAlive = keepAlive && ! response->m_closes && ! m_closesAfterResponses;
             auto message = toMessage (std::move (*response), version, keepAlive);
-            stream.expires_after (writeLimit);
+            stream.expires_after (writeTimeout);
             const auto [writeError, written] = co_await http::async_write (stream, message, asTuple);
 
             if (writeError)
@@ -168,58 +168,61 @@
         stream.socket().shutdown (tcp::socket::shutdown_send, ignored);
     }
 
-    /** Hands a request over and waits for the answer, or for the requester to go. */
+    /** Passes a request to the hook and waits for the response, or for the client to disconnect. */
     asio::awaitable<std::optional<HttpResponse>> exchange (beast::tcp_stream& stream, HttpRequest request)
     {
-        const auto pending = std::make_shared<Exchange> (stream.get_executor());
+        const auto pending = std::make_shared<PendingExchange> (stream.get_executor());
         stream.expires_never();
-        pending->m_onGone = m_hooks.m_onRequest (std::move (request), [pending] (HttpResponse response) {
-            pending->m_response = std::move (response);
-            pending->m_wake.cancel();
-        });
+        pending->m_onDisconnect =
+            m_hooks.m_onRequest (std::move (request), [pending] (HttpResponse response) {
+                pending->m_response = std::move (response);
+                pending->m_responseReady.cancel();
+            });
 
         if (! pending->m_response.has_value())
         {
-            watch (stream, pending);
-            co_await pending->m_wake.async_wait (asTuple);
+            watchForDisconnect (stream, pending);
+            co_await pending->m_responseReady.async_wait (asTuple);
         }
 
-        pending->m_onGone = nullptr;
+        pending->m_onDisconnect = nullptr;
         co_return std::move (pending->m_response);
     }
 
-    /** Notices that the requester closed its connection; bytes of a next request are left alone. */
-    static void watch (beast::tcp_stream& stream, const std::shared_ptr<Exchange>& pending)
+    /** Detects that the client closed its connection. Bytes of a pipelined request stay unread. */
+    static void watchForDisconnect (beast::tcp_stream& stream,
+                                    const std::shared_ptr<PendingExchange>& pending)
     {
         auto& socket = stream.socket();
         socket.async_wait (tcp::socket::wait_read, [&stream, weak = std::weak_ptr (pending)] (
                                                        const boost::system::error_code& error) {
             const auto exchange = weak.lock();
 
-            if (exchange == nullptr || exchange->m_response.has_value() || exchange->m_isGone)
+            if (exchange == nullptr || exchange->m_response.has_value() || exchange->m_isDisconnected)
                 return;
 
-            const auto state = error ? error : peek (stream.socket());
+            const auto state = error ? error : peekByte (stream.socket());
 
             if (state == asio::error::would_block)
-                return watch (stream, exchange);
+                return watchForDisconnect (stream, exchange);
 
             if (! state)
                 return;
 
-            if (auto onGone = std::exchange (exchange->m_onGone, nullptr))
-                onGone();
+            if (auto onDisconnect = std::exchange (exchange->m_onDisconnect, nullptr))
+                onDisconnect();
 
-            exchange->m_isGone = true;
-            exchange->m_wake.cancel();
+            exchange->m_isDisconnected = true;
+            exchange->m_responseReady.cancel();
         });
     }
 
-    /** Looks for a byte without waiting for one: readiness may be told of bytes that were read by then.
+    /** Peeks at one byte without blocking, since the socket may be reported as readable for bytes that
+        have been read since.
 
-        @returns no error where there is one, would_block where there is none yet, else why none will come
+        @returns no error if a byte is available, would_block if there is none yet, else the socket's error
     */
-    static boost::system::error_code peek (tcp::socket& socket)
+    static boost::system::error_code peekByte (tcp::socket& socket)
     {
         boost::system::error_code error;
         socket.non_blocking (true, error);
@@ -232,7 +235,7 @@
         return error;
     }
 
-    asio::awaitable<void> answerError (beast::tcp_stream& stream, beast::error_code error)
+    asio::awaitable<void> respondToError (beast::tcp_stream& stream, beast::error_code error)
     {
         const bool isProtocolError =
             error.category() == http::make_error_code (http::error::bad_value).category();
@@ -241,20 +244,21 @@
             co_return;
 
         auto message = toMessage (m_hooks.m_onError (classify (error)), 11, false);
-        stream.expires_after (writeLimit);
+        stream.expires_after (writeTimeout);
         co_await http::async_write (stream, message, asTuple);
-        co_await discardRest (stream);
+        co_await discardUnread (stream);
     }
 
-    /** Closing with unread bytes would reset the connection and take the answer with it. */
-    static asio::awaitable<void> discardRest (beast::tcp_stream& stream)
+    /** Reads and discards the rest of a request: closing with unread bytes would reset the connection,
+        and the client might lose the response. */
+    static asio::awaitable<void> discardUnread (beast::tcp_stream& stream)
     {
         boost::system::error_code ignored;
         stream.socket().shutdown (tcp::socket::shutdown_send, ignored);
-        stream.expires_after (discardLimit);
+        stream.expires_after (discardTimeout);
         std::array<char, 16384> bytes {};
 
-        for (std::size_t discarded = 0; discarded < mostDiscardedBytes;)
+        for (std::size_t discarded = 0; discarded < maxDiscardedBytes;)
         {
             const auto [error, size] = co_await stream.async_read_some (asio::buffer (bytes), asTuple);
 
@@ -268,7 +272,7 @@
     asio::io_context& m_context;
     tcp::acceptor m_acceptor;
     Hooks m_hooks;
-    bool m_closesAfterAnswers = false;
+    bool m_closesAfterResponses = false;
 };
 
 //==============================================================================
@@ -297,9 +301,9 @@
     m_implementation->m_acceptor.close (ignored);
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeAfterResponses()
 {
-    m_implementation->m_closesAfterAnswers = true;
+    m_implementation->m_closesAfterResponses = true;
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/HttpServer.h
+++ b/modules/plankledge_runtime/HttpServer.h
@@ -14,7 +14,7 @@
 namespace plankledge
 {
 
-/** What was wrong with a request that never became one; one counter each. */
+/** Reasons for which a request cannot be parsed. Each has its own counter. */
 enum class HttpServerError : std::uint8_t
 {
     malformed,
@@ -30,8 +30,8 @@
 /**
     Serves HTTP/1.1 on one address with Boost.Beast.
 
-    Headers and bodies are bounded. An answer may come any time later, in this thread;
-    a requester that closes its connection meanwhile is reported.
+    Header and body sizes are limited. A request may be responded to at any later time, on the same
+    thread; the server reports a client that disconnects before that.
 */
 class HttpServer
 {
@@ -39,33 +39,33 @@
     //==============================================================================
     using Respond = std::function<void (HttpResponse)>;
 
-    /** What a server does with what comes in. */
+    /** Handlers of incoming requests. */
     struct Hooks
     {
-        /** A whole request; respond must be called exactly once.
+        /** Handles a complete request. Respond must be called exactly once.
 
-            @returns what to call if the requester goes before that, or nothing
+            @returns a callback for a client that disconnects before the response, or an empty function
         */
         std::function<std::function<void()> (HttpRequest, Respond)> m_onRequest;
 
-        /** A request that was not one: makes the answer. */
+        /** Makes the response to a request that cannot be parsed. */
         std::function<HttpResponse (HttpServerError)> m_onError;
     };
 
     HttpServer (boost::asio::io_context& context, Hooks hooks);
     ~HttpServer();
 
-    /** Starts to listen.
+    /** Starts listening.
 
-        @returns the error where the address can't be bound
+        @returns the error if the address cannot be bound
     */
     absl::Status listen (const Endpoint& endpoint);
 
-    /** Takes no more connections; those that are open go on. */
+    /** Stops accepting connections. Open connections are still served. */
     void stopListening();
 
-    /** Asks requesters to close their connections after the next answer. */
-    void closeAfterAnswers();
+    /** Closes each connection after its next response. */
+    void closeAfterResponses();
 
 private:
     //==============================================================================
--- a/modules/plankledge_runtime/KeyedNode.cpp
+++ b/modules/plankledge_runtime/KeyedNode.cpp
@@ -44,7 +44,7 @@
         auto trace = std::make_unique<TraceWriter> (m_options.m_tracePath);
 
         if (! trace->isOpen())
-            return absl::InvalidArgumentError ("the trace file can't be written");
+            return absl::InvalidArgumentError ("cannot open the trace file for writing");
 
         m_node.recordTo (std::move (trace), m_options.m_settings);
     }
@@ -67,7 +67,7 @@
 
 void KeyedNode::requestStop()
 {
-    m_callers.closeAfterAnswers();
+    m_callers.closeAfterResponses();
     m_node.requestStop();
 }
 
--- a/modules/plankledge_runtime/KeyedNode.h
+++ b/modules/plankledge_runtime/KeyedNode.h
@@ -10,7 +10,7 @@
 {
 
 //==============================================================================
-/** Where a node listens and whom it talks to, besides what its decisions depend on. */
+/** A node's settings and its addresses. */
 struct NodeOptions
 {
     NodeSettings m_settings;
@@ -19,12 +19,12 @@
     Endpoint m_adminEndpoint;
     Endpoint m_target;
     Endpoint m_platform;
-    std::string m_tracePath; /**< empty: no trace */
+    std::string m_tracePath; /**< empty: no trace is recorded */
 };
 
 //==============================================================================
 /**
-    A node with the project's own interface, for keyed requests: a Node and its edges.
+    A node that serves keyed requests: a Node and its edges.
 
     @see Node
 */
@@ -37,13 +37,13 @@
     KeyedNode (const KeyedNode&) = delete;
     KeyedNode& operator= (const KeyedNode&) = delete;
 
-    /** Binds all addresses and begins.
+    /** Binds all addresses and starts the node.
 
         @returns the first error
     */
     absl::Status start();
 
-    /** Begins a planned stop; the context stops once it is done. */
+    /** Starts a graceful shutdown. The context stops when it is complete. */
     void requestStop();
 
 private:
@@ -61,7 +61,7 @@
     HttpServer m_adminServer;
 };
 
-/** A configuration that every node reads alike. */
+/** @returns a parser that also validates the declarations */
 DeclarationsParser makeDeclarationsParser();
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/LinkTraffic.cpp
+++ b/modules/plankledge_runtime/LinkTraffic.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-struct KindOf
+struct FrameKindVisitor
 {
     FrameKind operator() (const PeerHello&) const noexcept { return FrameKind::hello; }
     FrameKind operator() (const PeerStatus&) const noexcept { return FrameKind::status; }
@@ -41,7 +41,7 @@
 
 FrameKind kindOf (const PeerMessage& message) noexcept
 {
-    return std::visit (KindOf(), message);
+    return std::visit (FrameKindVisitor(), message);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/LinkTraffic.h
+++ b/modules/plankledge_runtime/LinkTraffic.h
@@ -8,7 +8,7 @@
 namespace plankledge
 {
 
-/** What a frame between nodes is for. */
+/** The purpose of a frame between nodes. */
 enum class FrameKind : std::uint8_t
 {
     hello,
@@ -21,17 +21,17 @@
     proof,
     limit,
     crashes,
-    keyed, /**< of requests that are named by a key */
+    keyed, /**< all frames of keyed requests */
     frameKindCount
 };
 
 std::string_view nameOf (FrameKind kind) noexcept;
 
-/** @returns what a frame with this message is for */
+/** @returns the kind of a frame that carries this message */
 FrameKind kindOf (const PeerMessage& message) noexcept;
 
-/** Bytes of the frames that a node sent since its start, by what they were for. What all nodes sent is what
-   all received, so nothing is counted twice. */
+/** Bytes of the frames that a node has sent since its start, by kind. Received frames are not counted,
+    so that sums over all nodes count each frame once. */
 struct LinkTraffic
 {
     using ByKind = Counters::By<FrameKind, FrameKind::frameKindCount>;
--- a/modules/plankledge_runtime/LogEdge.cpp
+++ b/modules/plankledge_runtime/LogEdge.cpp
@@ -28,7 +28,7 @@
 void LogEdge::carryOut (const FetchList&)
 {
     m_client.fetchList ([this] (const auto& list) {
-        note (list.status());
+        reportError (list.status());
 
         if (list.ok())
             m_node.submit (ListReceived { *list });
@@ -43,7 +43,7 @@
 
 void LogEdge::onPage (const ReadLog& read, const absl::StatusOr<LogPage>& page)
 {
-    note (page.status());
+    reportError (page.status());
 
     if (! page.ok())
         return;
@@ -55,7 +55,7 @@
         for (const auto& record : page->m_records)
         {
             auto decoded = decodeConfigurationRecord (record);
-            note (decoded.status());
+            reportError (decoded.status());
 
             if (decoded.ok())
                 event.m_records.push_back (*std::move (decoded));
@@ -69,7 +69,7 @@
     for (const auto& record : page->m_records)
     {
         auto decoded = decodeJoinRecord (record);
-        note (decoded.status());
+        reportError (decoded.status());
 
         if (decoded.ok())
             event.m_records.push_back (*std::move (decoded));
@@ -81,7 +81,7 @@
 void LogEdge::carryOut (const AppendJoin& effect)
 {
     m_client.append (joinStream, encodeJoinRecord (effect.m_member),
-                     [this] (const auto& status) { note (status); });
+                     [this] (const auto& status) { reportError (status); });
 }
 
 void LogEdge::carryOut (const AppendCheckpoint& effect)
@@ -91,10 +91,10 @@
         -1, ConfigurationRecordKind::checkpoint, m_self, state.m_version, state.m_asOfOffset, state.m_text
     };
     m_client.append (configurationStream, encodeConfigurationRecord (record),
-                     [this] (const auto& status) { note (status); });
+                     [this] (const auto& status) { reportError (status); });
 }
 
-void LogEdge::note (const absl::Status& status)
+void LogEdge::reportError (const absl::Status& status)
 {
     if (status.ok())
         return;
--- a/modules/plankledge_runtime/LogEdge.h
+++ b/modules/plankledge_runtime/LogEdge.h
@@ -8,7 +8,7 @@
 {
 
 //==============================================================================
-/** Where a node meets the platform of the project's own interface: its log and its list of instances. */
+/** Accesses the platform for nodes that serve keyed requests: its log and its list of instances. */
 class LogEdge
 {
 public:
@@ -21,13 +21,13 @@
     void carryOut (const AppendJoin& effect);
     void carryOut (const AppendCheckpoint& effect);
 
-    /** @returns bytes of requests and answers since the start */
+    /** @returns bytes of requests and responses since the start */
     std::uint64_t bytes() const noexcept { return m_client.bytes(); }
 
 private:
     //==============================================================================
     void onPage (const ReadLog& read, const absl::StatusOr<LogPage>& page);
-    void note (const absl::Status& status);
+    void reportError (const absl::Status& status);
 
     Node& m_node;
     const InstanceName m_self;
--- a/modules/plankledge_runtime/MetricsText.h
+++ b/modules/plankledge_runtime/MetricsText.h
@@ -20,7 +20,7 @@
     text += fmt::format ("# TYPE plankledge_{0} counter\nplankledge_{0} {1}\n", name, value);
 }
 
-/** Appends one counter for each value of the enumeration, by its name. */
+/** Appends a counter with one label value per enumerator. */
 template <class Enumeration, Enumeration count>
 void appendCounters (std::string& text, std::string_view name,
                      const Counters::By<Enumeration, count>& counters)
--- a/modules/plankledge_runtime/Node.cpp
+++ b/modules/plankledge_runtime/Node.cpp
@@ -12,23 +12,23 @@
 namespace
 {
 
-/** The reducer hears of the time at least so often, and so notices that the process stood still. */
-constexpr Duration longestSleep = Milliseconds (100);
+/** The longest interval between time events. The reducer detects pauses of the process by larger gaps. */
+constexpr Duration maxWakeUpInterval = Milliseconds (100);
 
-/** What was answered last gets this long to leave the sockets. */
-constexpr Duration flushTime = Milliseconds (200);
+/** Delay before the event loop stops, so that pending responses can be sent. */
+constexpr Duration shutdownFlushDelay = Milliseconds (200);
 
 } // namespace
 
 struct Node::Timers
 {
     explicit Timers (boost::asio::io_context& context)
-        : m_wake (context)
+        : m_wakeUp (context)
         , m_flush (context)
     {
     }
 
-    boost::asio::steady_timer m_wake;
+    boost::asio::steady_timer m_wakeUp;
     boost::asio::steady_timer m_flush;
 };
 
@@ -68,10 +68,10 @@
 {
     m_pending.push_back (std::move (body));
 
-    if (m_isBusy)
+    if (m_isProcessing)
         return;
 
-    m_isBusy = true;
+    m_isProcessing = true;
 
     while (! m_pending.empty())
     {
@@ -80,7 +80,7 @@
         applyOne (std::move (next));
     }
 
-    m_isBusy = false;
+    m_isProcessing = false;
     armTimer();
 }
 
@@ -127,31 +127,32 @@
 
     m_isExiting = true;
 
-    for (const auto& call : m_onExit)
-        call();
+    for (const auto& callback : m_onExit)
+        callback();
 
     m_logger.write (Severity::info, "exiting");
     m_logger.flush();
-    m_timers->m_flush.expires_after (flushTime);
+    m_timers->m_flush.expires_after (shutdownFlushDelay);
     m_timers->m_flush.async_wait ([this] (const boost::system::error_code&) { m_context.stop(); });
 }
 
 void Node::armTimer()
 {
     const auto now = m_time();
-    const auto due = std::min (m_reducer->nextWakeUp().value_or (now + longestSleep), now + longestSleep);
+    const auto due =
+        std::min (m_reducer->nextWakeUp().value_or (now + maxWakeUpInterval), now + maxWakeUpInterval);
 
-    // An earlier wake-up that is armed already serves as well.
-    if (m_armedFor > now && m_armedFor <= due)
+    // A timer that is already set for an earlier time is sufficient.
+    if (m_nextWakeUp > now && m_nextWakeUp <= due)
         return;
 
-    m_armedFor = due;
-    m_timers->m_wake.expires_after (std::max (Duration::zero(), due - now));
-    m_timers->m_wake.async_wait ([this] (const boost::system::error_code& error) {
+    m_nextWakeUp = due;
+    m_timers->m_wakeUp.expires_after (std::max (Duration::zero(), due - now));
+    m_timers->m_wakeUp.async_wait ([this] (const boost::system::error_code& error) {
         if (error)
             return;
 
-        m_armedFor = Time();
+        m_nextWakeUp = Time();
         submit (TimePassed {});
         m_logger.flush();
     });
--- a/modules/plankledge_runtime/Node.h
+++ b/modules/plankledge_runtime/Node.h
@@ -17,10 +17,13 @@
 namespace plankledge
 {
 
-/** Carries out effects of some kinds; returns whether the effect was of one of them. */
+/** Carries out effects of some kinds.
+
+    @returns false if the effect is of another kind
+*/
 using EffectHandler = std::function<bool (const Effect&)>;
 
-/** @returns a handler for all effects that the edge has a carryOut() for; the edge must outlive it */
+/** @returns a handler for all effects for which the edge has a carryOut(). The edge must outlive it. */
 template <class Edge> EffectHandler handlerOf (Edge& edge)
 {
     return [&edge] (const Effect& effect) {
@@ -41,9 +44,9 @@
 
 //==============================================================================
 /**
-    One node process: leads events to its reducer and the effects to its edges, all in one
-    thread. An edge is whatever meets the world outside: callers, the target, peers, the
-    store.
+    The driver of one node process: passes events to the reducer and the resulting effects to the
+    edges, all on one thread. An edge is the adapter for one external interface: callers, the
+    target, peers, or the store.
 
     @see Reducer, KeyedNode
 */
@@ -51,8 +54,8 @@
 {
 public:
     //==============================================================================
-    /** @param time   stamped on each event; timers run by the steady clock, so a wake-up that is due while
-       the machine is suspended comes up to 100 ms after it
+    /** @param time   the clock for the timestamps of events. Timers use the steady clock, so a wake-up that
+                      falls due while the machine is suspended occurs up to 100 ms after it resumes.
     */
     Node (boost::asio::io_context& context, std::unique_ptr<Reducer> reducer, Logger& logger,
           TimeSource time = BootClock::now);
@@ -61,28 +64,28 @@
     Node (const Node&) = delete;
     Node& operator= (const Node&) = delete;
 
-    /** Adds an edge; each effect goes to the first that takes it. */
+    /** Adds an edge. Each effect is handled by the first edge that accepts it. */
     void addEdge (EffectHandler handler) { m_edges.push_back (std::move (handler)); }
 
-    /** Calls this when the process is about to end, before what was written last is flushed. */
-    void onExit (std::function<void()> call) { m_onExit.push_back (std::move (call)); }
+    /** Adds a callback for the end of the process, called before pending output is flushed. */
+    void onExit (std::function<void()> callback) { m_onExit.push_back (std::move (callback)); }
 
-    /** Records all events from the start on. */
+    /** Records all events to a trace. To be called before start(). */
     void recordTo (std::unique_ptr<TraceWriter> trace, const NodeSettings& settings);
 
-    /** Begins the reducer's life; all edges must be there. */
+    /** Starts the reducer. All edges must have been added. */
     void start();
 
-    /** Takes in an event; may be called from within an effect. */
+    /** Processes an event. May be called while an effect is carried out; the event is then queued. */
     void submit (EventBody body);
 
-    /** Begins a planned stop; the context stops once it is done. */
+    /** Starts a graceful shutdown. The context stops when it is complete. */
     void requestStop() { submit (StopRequested {}); }
 
     const Reducer& reducer() const noexcept { return *m_reducer; }
     Logger& logger() noexcept { return m_logger; }
 
-    /** @returns a name for a request that waits at an edge */
+    /** @returns a unique id for a request that is pending at an edge */
     Ticket newTicket() noexcept { return m_nextTicket++; }
 
 private:
@@ -106,9 +109,9 @@
     std::unique_ptr<Timers> m_timers;
     std::deque<EventBody> m_pending;
     Ticket m_nextTicket = 1;
-    bool m_isBusy = false;
+    bool m_isProcessing = false;
     bool m_isExiting = false;
-    Time m_armedFor;
+    Time m_nextWakeUp;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/NodeMetrics.cpp
+++ b/modules/plankledge_runtime/NodeMetrics.cpp
@@ -91,7 +91,7 @@
     appendCounters (text, "bad_requests_total", metrics.m_badRequests);
     appendCounters (text, "bad_http_total", metrics.m_badHttp);
     appendCounters (text, "platform_errors_total", metrics.m_platformErrors);
-    appendCounter (text, "target_broken_total", metrics.m_targetBroken);
+    appendCounter (text, "target_broken_total", metrics.m_brokenTargetCalls);
     appendCounter (text, "control_frame_bytes_total", traffic.m_frames);
     appendCounter (text, "control_datagram_bytes_total", traffic.m_datagrams);
     appendCounter (text, "control_platform_bytes_total", traffic.m_platform);
@@ -132,9 +132,9 @@
 namespace
 {
 
-/** The organisations with most requests have counters of their own, the others are summed up: a fleet may
-   have thousands of them. */
-constexpr std::size_t mostOrganisations = 16;
+/** The organisations with the most requests have individual counters, to limit the number of time series.
+    The others are summed. */
+constexpr std::size_t maxListedOrganisations = 16;
 constexpr std::string_view otherOrganisations = "(others)";
 
 using NamedCount = std::pair<OrganisationName, OrganisationCount>;
@@ -152,23 +152,24 @@
     sum.m_counted += count.m_counted;
 }
 
-/** @returns the largest, and one sum of the others where there are more */
-std::vector<NamedCount> boundedCounts (const OrganisationCounts& counts)
+/** @returns the largest counts, followed by the sum of the others, if any */
+std::vector<NamedCount> largestCounts (const OrganisationCounts& counts)
 {
     std::vector<NamedCount> result (counts.begin(), counts.end());
     std::stable_sort (result.begin(), result.end(), [] (const NamedCount& one, const NamedCount& other) {
         return requestsOf (one.second) > requestsOf (other.second);
     });
 
-    if (result.size() <= mostOrganisations)
+    if (result.size() <= maxListedOrganisations)
         return result;
 
     OrganisationCount others;
 
-    for (auto left = result.begin() + mostOrganisations; left != result.end(); ++left)
-        addTo (others, left->second);
+    for (auto organisation = result.begin() + maxListedOrganisations; organisation != result.end();
+         ++organisation)
+        addTo (others, organisation->second);
 
-    result.resize (mostOrganisations);
+    result.resize (maxListedOrganisations);
     result.emplace_back (otherOrganisations, others);
     return result;
 }
@@ -177,7 +178,7 @@
 {
     text += "# TYPE plankledge_organisation_requests_total counter\n";
 
-    for (const auto& [name, count] : boundedCounts (counts))
+    for (const auto& [name, count] : largestCounts (counts))
         for (const auto& [result, number] :
              { std::pair { "admitted", count.m_admitted }, std::pair { "beyond-limit", count.m_beyondLimit },
                std::pair { "limit-unknown", count.m_limitUnknown },
--- a/modules/plankledge_runtime/NodeMetrics.h
+++ b/modules/plankledge_runtime/NodeMetrics.h
@@ -16,7 +16,7 @@
 {
 
 //==============================================================================
-/** Quantiles of a duration since the start, by Boost.Accumulators (P-square). */
+/** Estimates quantiles of a duration since the start, with the P-square algorithm of Boost.Accumulators. */
 class DurationQuantiles
 {
 public:
@@ -25,11 +25,11 @@
 
     void add (Duration duration);
 
-    /** The probabilities that are kept. */
+    /** The probabilities whose quantiles are estimated. */
     static constexpr std::array<double, 3> probabilities { 0.5, 0.9, 0.99 };
 
-    /** @param index   of the probability
-        @returns milliseconds; 0 while there is nothing to tell from
+    /** @param index   into probabilities
+        @returns the quantile in milliseconds, or 0 while there are too few samples
     */
     double milliseconds (std::size_t index) const;
 
@@ -45,7 +45,7 @@
 };
 
 //==============================================================================
-/** What the driver counts besides the reducer's own counters. */
+/** Counters of the edges, in addition to those of the reducer. */
 struct NodeMetrics
 {
     Counters::By<WireError, WireError::wireErrorCount> m_badFrames;
@@ -53,11 +53,11 @@
     Counters::By<CallerError, CallerError::callerErrorCount> m_badRequests;
     Counters::By<HttpServerError, HttpServerError::httpServerErrorCount> m_badHttp;
     Counters::By<PlatformError, PlatformError::platformErrorCount> m_platformErrors;
-    std::uint64_t m_targetBroken = 0;
-    DurationQuantiles m_requestTime; /**< from a request's arrival to its answer */
+    std::uint64_t m_brokenTargetCalls = 0;
+    DurationQuantiles m_requestTime; /**< from a request's arrival to its response */
 };
 
-/** Bytes for control since the start, by what carries them. */
+/** Bytes of control traffic since the start, by transport. */
 struct ControlTraffic
 {
     std::uint64_t m_frames = 0;
@@ -65,14 +65,14 @@
     std::uint64_t m_platform = 0;
 };
 
-/** @returns all counters and gauges in Prometheus text format */
+/** @returns the metrics of a node that serves keyed requests, in Prometheus text format */
 std::string renderMetrics (const Reducer& reducer, const NodeMetrics& metrics, const ControlTraffic& traffic);
 
-/** @returns the same of a node that serves relayed requests */
+/** @returns the metrics of a node that serves relayed requests, in Prometheus text format */
 std::string renderRelayMetrics (const Reducer& reducer, const NodeMetrics& metrics,
                                 const ControlTraffic& traffic, Time now);
 
-/** @returns this node's view as JSON: members, version, limits, refusals by reason */
+/** @returns the node's state as JSON: members, configuration version, limits, and refusals by reason */
 std::string renderState (const Reducer& reducer);
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/NodeProgram.cpp
+++ b/modules/plankledge_runtime/NodeProgram.cpp
@@ -13,11 +13,11 @@
     if (const auto status = node.m_start(); ! status.ok())
     {
         logger.write (Severity::error, "start-failed", { { "reason", std::string (status.message()) } });
-        return exitNotStarted;
+        return exitStartFailed;
     }
 
-    boost::asio::signal_set stops (context, SIGTERM, SIGINT);
-    stops.async_wait ([&node] (const boost::system::error_code& error, int) {
+    boost::asio::signal_set stopSignals (context, SIGTERM, SIGINT);
+    stopSignals.async_wait ([&node] (const boost::system::error_code& error, int) {
         if (! error)
             node.m_requestStop();
     });
--- a/modules/plankledge_runtime/NodeProgram.h
+++ b/modules/plankledge_runtime/NodeProgram.h
@@ -10,19 +10,19 @@
 namespace plankledge
 {
 
-/** What a node's program does with its node; both outlive the run. */
+/** Starts and stops a node. Must outlive runNode(). */
 struct NodeHooks
 {
     std::function<absl::Status()> m_start;
     std::function<void()> m_requestStop;
 };
 
-/** The exit code of a node that could not start. */
-inline constexpr int exitNotStarted = 1;
+/** The exit code if the node cannot start. */
+inline constexpr int exitStartFailed = 1;
 
-/** Starts a node, asks it to stop on SIGTERM or SIGINT, and runs until it has ended.
+/** Starts a node and runs it until it has shut down, which SIGTERM and SIGINT request.
 
-    @param fields   of the log's line at the start
+    @param fields   logged with the "started" event
 
     @returns the process's exit code
 */
--- a/modules/plankledge_runtime/NoticeLog.h
+++ b/modules/plankledge_runtime/NoticeLog.h
@@ -9,7 +9,6 @@
 /** @returns the event's name in the log, e.g. "drain-started" */
 std::string_view nameOf (Notice notice) noexcept;
 
-/** @returns how severe the event is */
 Severity severityOf (Notice notice) noexcept;
 
 /** @returns the event's name in the log, e.g. "request-refused" */
@@ -17,7 +16,7 @@
 
 void writeNotice (Logger& logger, const WriteLog& notice);
 
-/** Writes a decision with its inputs. */
+/** Logs a decision with its inputs. Lines about a sampled request chain are marked as sampled. */
 void writeDecision (Logger& logger, const LogDecision& decision);
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/PeerEdge.cpp
+++ b/modules/plankledge_runtime/PeerEdge.cpp
@@ -19,14 +19,15 @@
                                           { { "reason", std::string (nameOf (error)) } });
                  },
                  [this, &node] (const InstanceName& to, const PeerMessage& message, std::size_t bytes) {
-                     count (node, to, message, bytes);
+                     countFrame (node, to, message, bytes);
                  } })
     , m_rumours (context, { [&node] (Rumour rumour) { node.submit (RumourReceived { std::move (rumour) }); },
                             [&metrics] (WireError error) { ++metrics.m_badDatagrams[error]; } })
 {
 }
 
-void PeerEdge::count (const Node& node, const InstanceName& to, const PeerMessage& message, std::size_t bytes)
+void PeerEdge::countFrame (const Node& node, const InstanceName& to, const PeerMessage& message,
+                           std::size_t bytes)
 {
     const auto isOther = node.reducer().servesRelayed() && node.reducer().relay().isInOtherZone (to);
     auto& counters = isOther ? m_traffic.m_otherZone : m_traffic.m_ownZone;
--- a/modules/plankledge_runtime/PeerEdge.h
+++ b/modules/plankledge_runtime/PeerEdge.h
@@ -10,28 +10,28 @@
 {
 
 //==============================================================================
-/** Where a node meets its peers: frames over TCP, rumours over UDP. */
+/** Exchanges messages with peers: frames over TCP, rumours (gossip) over UDP. */
 class PeerEdge
 {
 public:
     //==============================================================================
     PeerEdge (boost::asio::io_context& context, Node& node, const NodeId& self, NodeMetrics& metrics);
 
-    /** @returns the error where the address can't be bound */
+    /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
     void carryOut (const SendToPeer& effect);
     void carryOut (const ReplyOnLink& effect);
     void carryOut (const SendRumour& effect);
 
-    /** @returns bytes for control since the start, by frames and datagrams */
+    /** @returns bytes of control traffic since the start, for frames and datagrams */
     ControlTraffic traffic() const noexcept { return { m_links.controlBytes(), m_rumours.bytes(), 0 }; }
 
     const LinkTraffic& linkTraffic() const noexcept { return m_traffic; }
 
 private:
     //==============================================================================
-    void count (const Node& node, const InstanceName& to, const PeerMessage& message, std::size_t bytes);
+    void countFrame (const Node& node, const InstanceName& to, const PeerMessage& message, std::size_t bytes);
 
     LinkTraffic m_traffic;
     PeerLinks m_links;
--- a/modules/plankledge_runtime/PeerLinks.cpp
+++ b/modules/plankledge_runtime/PeerLinks.cpp
@@ -27,13 +27,13 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::chrono::milliseconds connectLimit { 500 };
-constexpr std::chrono::seconds idleLimit { 120 };
-constexpr std::size_t maximumQueuedBytes = 16U << 20U; // a peer that reads so slowly counts as lost
+constexpr std::chrono::milliseconds connectTimeout { 500 };
+constexpr std::chrono::seconds idleTimeout { 120 };
+constexpr std::size_t maximumQueuedBytes = 16U << 20U; // beyond it, the peer counts as lost
 
-/** A connection whose bytes are not acknowledged for so long is broken: the peer is cut off or has no
-    power, and says nothing. Longer than a pause of a busy process, shorter than callers wait. */
-constexpr std::chrono::milliseconds unacknowledgedLimit { 2500 };
+/** TCP_USER_TIMEOUT: detects a peer that is partitioned or has lost power. Longer than pauses of a busy
+    process, shorter than callers' timeouts. */
+constexpr std::chrono::milliseconds unacknowledgedTimeout { 2500 };
 
 bool isControl (const PeerMessage& message) noexcept
 {
@@ -43,8 +43,8 @@
            ! std::holds_alternative<RelayAnswer> (message) && ! std::holds_alternative<RelayCancel> (message);
 }
 
-/** @returns the id of the call that the message asks for, or nullopt */
-std::optional<CallId> callOf (const PeerMessage& message) noexcept
+/** @returns the call id of a request, or nullopt for other messages */
+std::optional<CallId> callIdOf (const PeerMessage& message) noexcept
 {
     if (const auto* call = std::get_if<CallRequest> (&message))
         return call->m_callId;
@@ -55,16 +55,17 @@
     return std::nullopt;
 }
 
-/** Small frames leave at once: held back by Nagle's algorithm they wait 40 ms for an acknowledgement. */
-void prepare (tcp::socket& socket)
+/** Sets the user timeout, and disables Nagle's algorithm: with delayed acknowledgements it would delay small
+    frames by up to 40 ms. */
+void configureSocket (tcp::socket& socket)
 {
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     boost::system::error_code ignored;
     socket.set_option (tcp::no_delay (true), ignored);
-    socket.set_option (UserTimeout (static_cast<int> (unacknowledgedLimit.count())), ignored);
+    socket.set_option (UserTimeout (static_cast<int> (unacknowledgedTimeout.count())), ignored);
 }
 
-/** One connection, either way. */
+/** One connection, opened by either side. */
 struct Link
 {
     explicit Link (asio::io_context& context)
@@ -74,10 +75,10 @@
     }
 
     tcp::socket m_socket;
-    asio::steady_timer m_timer; /**< limits connecting, then idling */
+    asio::steady_timer m_timer; /**< the connect timeout, then the idle timeout */
     std::string m_queued;       /**< bytes to write */
     std::string m_writing;
-    std::vector<CallId> m_unsent; /**< calls queued before the connection stands */
+    std::vector<CallId> m_unsent; /**< calls queued before the connection is established */
     Endpoint m_endpoint;
     bool m_isConnected = false;
     bool m_isClosed = false;
@@ -114,7 +115,7 @@
             if (error)
                 continue;
 
-            prepare (link->m_socket);
+            configureSocket (link->m_socket);
             link->m_isConnected = true;
             const auto id = m_nextLink++;
             m_accepted[id] = link;
@@ -133,7 +134,7 @@
     }
 
     //==============================================================================
-    asio::awaitable<void> runOwn (InstanceName instance, LinkPointer link)
+    asio::awaitable<void> runOpened (InstanceName instance, LinkPointer link)
     {
         const auto self = shared_from_this();
 
@@ -141,18 +142,18 @@
         {
             auto unsent = std::move (link->m_unsent);
             close (*link);
-            forgetOwn (instance, link);
+            removeOpened (instance, link);
             co_return m_hooks.m_onUnreachable (instance, std::move (unsent));
         }
 
         link->m_isConnected = true;
         link->m_unsent.clear();
-        watchIdle (link);
+        restartIdleTimer (link);
         flush (link);
         co_await readFrames (0, link, instance);
         close (*link);
 
-        if (forgetOwn (instance, link))
+        if (removeOpened (instance, link))
             m_hooks.m_onLost (instance);
     }
 
@@ -164,7 +165,7 @@
         if (addressError)
             co_return false;
 
-        link.m_timer.expires_after (connectLimit);
+        link.m_timer.expires_after (connectTimeout);
         link.m_timer.async_wait ([&link] (const boost::system::error_code& error) {
             if (! error && ! link.m_isConnected)
                 close (link);
@@ -177,25 +178,25 @@
         if (error || link.m_isClosed)
             co_return false;
 
-        prepare (link.m_socket);
+        configureSocket (link.m_socket);
         co_return true;
     }
 
-    /** @returns whether this was still the link in use for the instance */
-    bool forgetOwn (const InstanceName& instance, const LinkPointer& link)
+    /** @returns whether this was still the current link to the instance */
+    bool removeOpened (const InstanceName& instance, const LinkPointer& link)
     {
-        const auto found = m_own.find (instance);
+        const auto found = m_opened.find (instance);
 
-        if (found == m_own.end() || found->second != link)
+        if (found == m_opened.end() || found->second != link)
             return false;
 
-        m_own.erase (found);
+        m_opened.erase (found);
         return true;
     }
 
-    static void watchIdle (const LinkPointer& link)
+    static void restartIdleTimer (const LinkPointer& link)
     {
-        link->m_timer.expires_after (idleLimit);
+        link->m_timer.expires_after (idleTimeout);
         link->m_timer.async_wait ([weak = std::weak_ptr (link)] (const boost::system::error_code& error) {
             const auto self = weak.lock();
 
@@ -205,9 +206,9 @@
     }
 
     //==============================================================================
-    /** Reads until the connection ends or says something wrong.
+    /** Reads frames until the connection closes or a frame is invalid.
 
-        @param peer   the instance at the other end, where this node opened the connection
+        @param peer   the expected sender, if this node opened the connection
     */
     asio::awaitable<void> readFrames (LinkId id, LinkPointer link, std::optional<InstanceName> peer)
     {
@@ -215,43 +216,47 @@
 
         while (! link->m_isClosed)
         {
-            const auto room = buffer.room();
-            const auto [error, size] =
-                co_await link->m_socket.async_read_some (asio::buffer (room.data(), room.size()), asTuple);
+            const auto region = buffer.prepare();
+            const auto [error, size] = co_await link->m_socket.async_read_some (
+                asio::buffer (region.data(), region.size()), asTuple);
 
             if (error)
                 co_return;
 
-            buffer.onRead (size);
-            const auto used = takeFrames (id, *link, peer, buffer.bytes());
+            buffer.commit (size);
+            const auto consumed = processFrames (id, *link, peer, buffer.bytes());
 
-            if (! used.ok())
+            if (! consumed.ok())
             {
-                m_hooks.m_onBadFrame (wireErrorOf (used.status()));
+                m_hooks.m_onBadFrame (wireErrorOf (consumed.status()));
                 co_return;
             }
 
-            buffer.drop (*used);
+            buffer.consume (*consumed);
         }
     }
 
-    /** @returns how many bytes made whole frames */
-    absl::StatusOr<std::size_t> takeFrames (LinkId id, const Link& link,
-                                            const std::optional<InstanceName>& peer, std::string_view bytes)
+    /** Handles all complete frames.
+
+        @returns the number of bytes consumed
+    */
+    absl::StatusOr<std::size_t> processFrames (LinkId id, const Link& link,
+                                               const std::optional<InstanceName>& peer,
+                                               std::string_view bytes)
     {
-        std::size_t used = 0;
+        std::size_t consumed = 0;
 
-        while (bytes.size() - used >= frameHeaderBytes && ! link.m_isClosed)
+        while (bytes.size() - consumed >= frameHeaderBytes && ! link.m_isClosed)
         {
-            const auto length = decodeFrameLength (bytes.substr (used, frameHeaderBytes));
+            const auto length = decodeFrameLength (bytes.substr (consumed, frameHeaderBytes));
 
             if (! length.ok())
                 return length.status();
 
-            if (bytes.size() - used - frameHeaderBytes < *length)
+            if (bytes.size() - consumed - frameHeaderBytes < *length)
                 break;
 
-            auto frame = decodeFrame (bytes.substr (used + frameHeaderBytes, *length), m_self.m_instance);
+            auto frame = decodeFrame (bytes.substr (consumed + frameHeaderBytes, *length), m_self.m_instance);
 
             if (! frame.ok())
                 return frame.status();
@@ -259,7 +264,7 @@
             if (peer.has_value() && frame->m_from.m_instance != *peer)
                 return toStatus (WireError::wrongReceiver);
 
-            used += frameHeaderBytes + *length;
+            consumed += frameHeaderBytes + *length;
 
             if (isControl (frame->m_message))
                 m_controlBytes += frameHeaderBytes + *length;
@@ -267,7 +272,7 @@
             m_hooks.m_onMessage (id, frame->m_from, std::move (frame->m_message));
         }
 
-        return used;
+        return consumed;
     }
 
     //==============================================================================
@@ -281,7 +286,7 @@
         if (isControl (message))
             m_controlBytes += bytes.size();
 
-        m_hooks.m_onWritten (to, message, bytes.size());
+        m_hooks.m_onFrameQueued (to, message, bytes.size());
 
         if (link->m_queued.size() + bytes.size() > maximumQueuedBytes)
             return close (*link);
@@ -324,7 +329,7 @@
     const NodeId m_self;
     tcp::acceptor m_acceptor;
     Hooks m_hooks;
-    std::map<InstanceName, LinkPointer> m_own;
+    std::map<InstanceName, LinkPointer> m_opened;
     std::map<LinkId, LinkPointer> m_accepted;
     LinkId m_nextLink = 1;
     std::uint64_t m_controlBytes = 0;
@@ -353,7 +358,7 @@
 
 void PeerLinks::send (const InstanceName& instance, const Endpoint& endpoint, const PeerMessage& message)
 {
-    auto& link = m_implementation->m_own[instance];
+    auto& link = m_implementation->m_opened[instance];
 
     if (link != nullptr && ! link->m_isClosed && link->m_endpoint != endpoint)
         Implementation::close (*link);
@@ -365,18 +370,18 @@
 
         link = std::make_shared<Link> (m_implementation->m_context);
         link->m_endpoint = endpoint;
-        asio::co_spawn (m_implementation->m_context, m_implementation->runOwn (instance, link),
+        asio::co_spawn (m_implementation->m_context, m_implementation->runOpened (instance, link),
                         asio::detached);
     }
 
     if (! link->m_isConnected)
     {
-        if (const auto call = callOf (message))
+        if (const auto call = callIdOf (message))
             link->m_unsent.push_back (*call);
     }
     else
     {
-        Implementation::watchIdle (link);
+        Implementation::restartIdleTimer (link);
     }
 
     m_implementation->write (link, instance, message);
@@ -397,7 +402,7 @@
 
 std::size_t PeerLinks::size() const noexcept
 {
-    return m_implementation->m_own.size() + m_implementation->m_accepted.size();
+    return m_implementation->m_opened.size() + m_implementation->m_accepted.size();
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/PeerLinks.h
+++ b/modules/plankledge_runtime/PeerLinks.h
@@ -15,11 +15,11 @@
 
 //==============================================================================
 /**
-    TCP connections between nodes. A node sends what it asks over connections that it
-    opened itself, one to each peer, and answers over those that peers opened.
+    TCP connections between nodes. A node sends requests over connections that it opens, one to
+    each peer, and answers over the connections that peers opened.
 
-    A frame that is too large, cut short, of another version or for another instance
-    ends its connection with a typed error and disturbs nothing else.
+    A frame that is too large, truncated, of another protocol version or for another instance
+    closes its connection with a WireError. Other connections are not affected.
 */
 class PeerLinks
 {
@@ -33,26 +33,26 @@
         std::function<void (LinkId)> m_onLinkClosed;
         std::function<void (WireError)> m_onBadFrame;
 
-        /** A frame of so many bytes is to be sent to the instance. */
-        std::function<void (const InstanceName&, const PeerMessage&, std::size_t bytes)> m_onWritten;
+        /** Called for each frame before it is queued, with its encoded size. */
+        std::function<void (const InstanceName&, const PeerMessage&, std::size_t bytes)> m_onFrameQueued;
     };
 
     PeerLinks (boost::asio::io_context& context, const NodeId& self, Hooks hooks);
     ~PeerLinks();
 
-    /** @returns the error where the address can't be bound */
+    /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
-    /** Sends over this node's own connection, which is opened where there is none. */
+    /** Sends over the connection that this node opened, opening one if necessary. */
     void send (const InstanceName& instance, const Endpoint& endpoint, const PeerMessage& message);
 
-    /** Answers over a connection that the peer opened; nothing happens if that is closed. */
+    /** Answers over a connection that the peer opened. Does nothing if it has been closed. */
     void reply (LinkId link, const InstanceName& instance, const PeerMessage& message);
 
-    /** @returns bytes of frames sent and received since the start, calls and their answers not counted */
+    /** @returns bytes of frames sent and received since the start, except calls, answers and cancellations */
     std::uint64_t controlBytes() const noexcept;
 
-    /** @returns open connections, both ways */
+    /** @returns the number of connections in both directions */
     std::size_t size() const noexcept;
 
 private:
--- a/modules/plankledge_runtime/PlatformClient.cpp
+++ b/modules/plankledge_runtime/PlatformClient.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint16_t okStatus = 200;
 constexpr std::uint16_t notModified = 304;
-constexpr std::uint64_t typicalHeaderBytes = 250; // of one request and its answer, both ways
+constexpr std::uint64_t typicalHeaderBytes = 250; // of a request and its response together
 
 } // namespace
 
@@ -26,8 +26,8 @@
     HttpRequest request;
     request.m_target = "/instances";
 
-    if (! m_listTag.empty())
-        request.m_headers.emplace_back ("If-None-Match", m_listTag);
+    if (! m_listETag.empty())
+        request.m_headers.emplace_back ("If-None-Match", m_listETag);
 
     m_client.send (m_platform, std::move (request), timeout,
                    [this, done = std::move (done)] (const auto& answer) {
@@ -42,7 +42,7 @@
                        if (answer->m_status != okStatus)
                            return done (toStatus (PlatformError::unavailable));
 
-                       m_listTag = std::string (findHeader (answer->m_headers, "ETag"));
+                       m_listETag = std::string (findHeader (answer->m_headers, "ETag"));
                        done (decodeList (answer->m_body));
                    });
 }
@@ -72,8 +72,8 @@
     request.m_body = data;
     m_bytes += typicalHeaderBytes + data.size();
     m_client.send (m_platform, std::move (request), timeout, [done = std::move (done)] (const auto& answer) {
-        const bool isDone = answer.ok() && answer->m_status == okStatus;
-        done (isDone ? absl::OkStatus() : toStatus (PlatformError::unavailable));
+        const bool isAppended = answer.ok() && answer->m_status == okStatus;
+        done (isAppended ? absl::OkStatus() : toStatus (PlatformError::unavailable));
     });
 }
 
--- a/modules/plankledge_runtime/ProgramSettings.cpp
+++ b/modules/plankledge_runtime/ProgramSettings.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr std::size_t longestName = 64;
-constexpr int highestPort = 65535;
+constexpr std::size_t maxNameLength = 64;
+constexpr int maxPort = 65535;
 
 bool isNameCharacter (char character) noexcept
 {
@@ -64,7 +64,7 @@
     if (error)
         fault (setting, SettingError::notAnAddress);
 
-    if (port < 1 || port > highestPort)
+    if (port < 1 || port > maxPort)
         fault (setting, SettingError::notAPort);
 
     return { ip, static_cast<std::uint16_t> (port) };
@@ -74,7 +74,7 @@
 {
     if (value.empty())
         fault (setting, SettingError::missing);
-    else if (value.size() > longestName || ! std::all_of (value.begin(), value.end(), isNameCharacter))
+    else if (value.size() > maxNameLength || ! std::all_of (value.begin(), value.end(), isNameCharacter))
         fault (setting, SettingError::badName);
 
     return value;
@@ -87,10 +87,10 @@
         fault (setting, SettingError::notOneOf);
 }
 
-void SettingsCheck::inRange (const std::string& setting, std::int64_t value, std::int64_t lowest,
-                             std::int64_t highest)
+void SettingsCheck::inRange (const std::string& setting, std::int64_t value, std::int64_t minimum,
+                             std::int64_t maximum)
 {
-    if (value < lowest || value > highest)
+    if (value < minimum || value > maximum)
         fault (setting, SettingError::outOfRange);
 }
 
--- a/modules/plankledge_runtime/ProgramSettings.h
+++ b/modules/plankledge_runtime/ProgramSettings.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-/** Helps programs to check their flags: all faults at once. */
+/** Validates the flags of programs, reporting all faults at once. */
 namespace plankledge
 {
 
-/** What is wrong with a setting. */
+/** Reasons for which a setting is invalid. */
 enum class SettingError : std::uint8_t
 {
     missing,
@@ -21,11 +21,11 @@
     outOfRange
 };
 
-/** @returns the error's text for an operator */
+/** @returns the message shown to operators, after the setting's name */
 std::string_view nameOf (SettingError error) noexcept;
 
 //==============================================================================
-/** Checks settings one by one and collects what is wrong with them. */
+/** Validates settings and collects the faults. */
 class SettingsCheck
 {
 public:
@@ -38,24 +38,24 @@
         auto operator<=> (const Fault&) const = default;
     };
 
-    /** @returns the endpoint that "IP:PORT" names */
+    /** Parses "IP:PORT". */
     Endpoint endpoint (const std::string& setting, const std::string& value);
 
-    /** @returns the endpoint of an IP number and a port */
+    /** Validates an IP address and a port. */
     Endpoint endpoint (const std::string& setting, const std::string& ip, int port);
 
-    /** A name is letters, digits, '-', '_' and '.', at most 64 of them. */
+    /** Validates a name: 1 to 64 letters, digits, '-', '_' or '.'. */
     const std::string& name (const std::string& setting, const std::string& value);
 
     void oneOf (const std::string& setting, const std::string& value,
                 const std::vector<std::string>& choices);
-    void inRange (const std::string& setting, std::int64_t value, std::int64_t lowest, std::int64_t highest);
+    void inRange (const std::string& setting, std::int64_t value, std::int64_t minimum, std::int64_t maximum);
 
     const std::vector<Fault>& faults() const noexcept { return m_faults; }
 
-    /** Prints one line for each fault to standard error.
+    /** Prints one line per fault to standard error.
 
-        @returns whether there was any
+        @returns whether there were any faults
     */
     bool reportFaults() const;
 
@@ -66,18 +66,18 @@
     std::vector<Fault> m_faults;
 };
 
-/** @returns the severity that a --log_level names; info where it names none */
+/** @returns the severity for a --log_level, or info if the name is unknown */
 Severity parseSeverity (std::string_view name) noexcept;
 
-/** @returns the wall clock in microseconds, which a restarted node has higher */
+/** @returns the wall clock in microseconds, so that a restarted node has a higher incarnation */
 Incarnation newIncarnation();
 
-/** The exit code for settings or declarations that are not valid. */
+/** The exit code for invalid settings or declarations. */
 inline constexpr int exitBadSettings = 2;
 
-/** Lets flags take their values from FLAGS_… environment variables; the command line goes before them.
+/** Reads flags from FLAGS_… environment variables. The command line takes precedence.
 
-    @param names   of the flags
+    @param names   the flags to read
 */
 void readFlagsFromEnvironment (const std::vector<std::string>& names);
 
--- a/modules/plankledge_runtime/ReadBuffer.cpp
+++ b/modules/plankledge_runtime/ReadBuffer.cpp
@@ -8,38 +8,38 @@
 {
 
 //==============================================================================
-std::span<char> ReadBuffer::room()
+std::span<char> ReadBuffer::prepare()
 {
-    if (m_buffer.size() - m_filled < m_wanted)
-        m_buffer.resize (m_filled + m_wanted);
+    if (m_buffer.size() - m_length < m_readSize)
+        m_buffer.resize (m_length + m_readSize);
 
-    return { m_buffer.data() + m_filled, m_wanted };
+    return { m_buffer.data() + m_length, m_readSize };
 }
 
-void ReadBuffer::onRead (std::size_t size)
+void ReadBuffer::commit (std::size_t size)
 {
-    assert (size <= m_buffer.size() - m_filled && "a read stays within its room");
-    m_filled += size;
+    assert (size <= m_buffer.size() - m_length && "read exceeds the prepared region");
+    m_length += size;
 
-    if (size >= m_wanted)
-        m_wanted = std::min (m_wanted * 2, largestRoom);
+    if (size >= m_readSize)
+        m_readSize = std::min (m_readSize * 2, maxReadSize);
 }
 
-void ReadBuffer::drop (std::size_t used)
+void ReadBuffer::consume (std::size_t count)
 {
-    assert (used <= m_filled && "only what was read can be used");
-    m_filled -= used;
+    assert (count <= m_length && "cannot consume more than was read");
+    m_length -= count;
 
-    if (m_filled > 0)
+    if (m_length > 0)
     {
-        std::memmove (m_buffer.data(), m_buffer.data() + used, m_filled);
+        std::memmove (m_buffer.data(), m_buffer.data() + count, m_length);
         return;
     }
 
-    m_wanted = smallestRoom;
+    m_readSize = minReadSize;
 
-    if (m_buffer.size() > smallestRoom)
-        std::string().swap (m_buffer); // assigning an empty string would keep the capacity
+    if (m_buffer.size() > minReadSize)
+        std::string().swap (m_buffer); // frees the memory; assigning an empty string would keep the capacity
 }
 
 } // namespace plankledge::detail
--- a/modules/plankledge_runtime/RelayCallerEdge.cpp
+++ b/modules/plankledge_runtime/RelayCallerEdge.cpp
@@ -33,28 +33,28 @@
     auto received = std::get<RelayRequestReceived> (std::move (decoded));
     const auto ticket = m_node.newTicket();
     received.m_ticket = ticket;
-    m_waiting[ticket] = { std::move (respond), received.m_content.m_id, BootClock::now() };
+    m_pendingRequests[ticket] = { std::move (respond), received.m_content.m_id, BootClock::now() };
     m_node.submit (std::move (received));
 
     return [this, ticket] {
-        if (m_waiting.erase (ticket) > 0)
+        if (m_pendingRequests.erase (ticket) > 0)
             m_node.submit (CallerDisconnected { ticket });
     };
 }
 
 void RelayCallerEdge::carryOut (const AnswerRelay& effect)
 {
-    const auto found = m_waiting.find (effect.m_ticket);
+    const auto found = m_pendingRequests.find (effect.m_ticket);
 
-    if (found == m_waiting.end())
+    if (found == m_pendingRequests.end())
         return;
 
-    m_metrics.m_requestTime.add (BootClock::now() - found->second.m_since);
-    const auto waiting = std::move (found->second);
-    m_waiting.erase (found);
-    auto response = m_hooks.m_encode (waiting.m_request, effect.m_result);
+    m_metrics.m_requestTime.add (BootClock::now() - found->second.m_receivedAt);
+    const auto pending = std::move (found->second);
+    m_pendingRequests.erase (found);
+    auto response = m_hooks.m_encode (pending.m_requestId, effect.m_result);
     response.m_closes = effect.m_closes;
-    waiting.m_respond (std::move (response));
+    pending.m_respond (std::move (response));
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/RelayCallerEdge.h
+++ b/modules/plankledge_runtime/RelayCallerEdge.h
@@ -11,23 +11,23 @@
 {
 
 //==============================================================================
-/** Where a node meets the senders of relayed requests; how they write them is a hook's matter. */
+/** Serves relayed requests over HTTP. Hooks define the request and response format. */
 class RelayCallerEdge
 {
 public:
     //==============================================================================
     struct Hooks
     {
-        /** Reads a request, all but its ticket, or makes the answer to one that can't be read. */
+        /** Decodes a request without its ticket, or makes the response to an invalid one. */
         std::function<std::variant<RelayRequestReceived, HttpResponse> (HttpRequest)> m_decode;
 
-        /** Makes the answer to the request with this id. */
+        /** Makes the response to the request with this id. */
         std::function<HttpResponse (const std::string& request, const RelayResult&)> m_encode;
     };
 
     RelayCallerEdge (boost::asio::io_context& context, Node& node, NodeMetrics& metrics, Hooks hooks);
 
-    /** @returns the error where the address can't be bound */
+    /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint) { return m_server.listen (endpoint); }
 
     void stopListening() { m_server.stopListening(); }
@@ -36,11 +36,11 @@
 
 private:
     //==============================================================================
-    struct Waiting
+    struct PendingRequest
     {
         HttpServer::Respond m_respond;
-        std::string m_request; /**< its id */
-        Time m_since;
+        std::string m_requestId;
+        Time m_receivedAt;
     };
 
     std::function<void()> onRequest (HttpRequest request, HttpServer::Respond respond);
@@ -49,7 +49,7 @@
     NodeMetrics& m_metrics;
     Hooks m_hooks;
     HttpServer m_server;
-    std::map<Ticket, Waiting> m_waiting;
+    std::map<Ticket, PendingRequest> m_pendingRequests;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/RelayTargetEdge.cpp
+++ b/modules/plankledge_runtime/RelayTargetEdge.cpp
@@ -26,7 +26,7 @@
     if (const auto* failure = std::get_if<TargetFailure> (&answer))
     {
         const bool isBroken = *failure == TargetFailure::broken;
-        m_metrics.m_targetBroken += isBroken ? 1 : 0;
+        m_metrics.m_brokenTargetCalls += isBroken ? 1 : 0;
         reply.m_kind = isBroken ? TargetReplyKind::broken : TargetReplyKind::notSent;
     }
     else
--- a/modules/plankledge_runtime/RelayTargetEdge.h
+++ b/modules/plankledge_runtime/RelayTargetEdge.h
@@ -8,7 +8,7 @@
 {
 
 //==============================================================================
-/** Where a node meets its target with relayed requests; how they are written is a hook's matter. */
+/** Sends relayed requests to the local target over HTTP. Hooks define the request and response format. */
 class RelayTargetEdge
 {
 public:
@@ -17,7 +17,7 @@
     {
         std::function<HttpRequest (const RelayToTarget&)> m_encode;
 
-        /** Reads a whole answer; all but its call. */
+        /** Decodes a complete response, without its call id. */
         std::function<TargetReply (HttpResponse)> m_decode;
 
         TargetClient::Matcher m_isAnswerTo;
@@ -27,7 +27,7 @@
 
     void carryOut (const RelayToTarget& effect);
     void carryOut (const CancelTargetCall& effect) { m_client.abandon (effect.m_call); }
-    void carryOut (const DropTargetConnections&) { m_client.dropIdle(); }
+    void carryOut (const DropTargetConnections&) { m_client.closeIdle(); }
 
 private:
     //==============================================================================
--- a/modules/plankledge_runtime/RumourSocket.cpp
+++ b/modules/plankledge_runtime/RumourSocket.cpp
@@ -30,13 +30,13 @@
                     return;
 
                 if (! error)
-                    self->take (size);
+                    self->processDatagram (size);
 
                 self->receive();
             });
     }
 
-    void take (std::size_t size)
+    void processDatagram (std::size_t size)
     {
         m_bytes += size;
         auto rumour = decodeRumour (std::string_view (m_buffer.data(), size));
@@ -96,7 +96,7 @@
     if (error)
         return;
 
-    // A datagram that can't be sent now is one that was lost.
+    // A datagram that cannot be sent now counts as lost.
     const auto bytes = encodeRumour (rumour);
     m_implementation->m_socket.send_to (asio::buffer (bytes), { address, endpoint.m_port }, 0, error);
     m_implementation->m_bytes += bytes.size();
--- a/modules/plankledge_runtime/RumourSocket.h
+++ b/modules/plankledge_runtime/RumourSocket.h
@@ -14,7 +14,7 @@
 {
 
 //==============================================================================
-/** Sends and receives rumours as UDP datagrams; what can't be read is counted and dropped. */
+/** Sends and receives rumours (gossip) as UDP datagrams. Malformed datagrams are reported and dropped. */
 class RumourSocket
 {
 public:
@@ -28,7 +28,7 @@
     RumourSocket (boost::asio::io_context& context, Hooks hooks);
     ~RumourSocket();
 
-    /** @returns the error where the address can't be bound */
+    /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
     void send (const Endpoint& endpoint, const Rumour& rumour);
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -26,28 +26,28 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::chrono::milliseconds connectLimit { 500 };
+constexpr std::chrono::milliseconds connectTimeout { 500 };
 
-/** Idle connections are given up so long before the target says that it closes them. */
+/** Idle connections expire this long before the target's idle timeout. */
 constexpr std::chrono::milliseconds idleMargin { 500 };
 
-/** For targets that name no idle time. */
-constexpr std::chrono::seconds usualIdleTime { 5 };
+/** For targets that send no idle timeout. */
+constexpr std::chrono::seconds defaultIdleTimeout { 5 };
 
-/** Answers to other requests that are passed over before a connection is given up. */
-constexpr unsigned mostStrayAnswers = 3;
+/** The number of responses to other requests that are skipped before the connection is closed. */
+constexpr unsigned maxStrayResponses = 3;
 
 using Stream = std::shared_ptr<beast::tcp_stream>;
 
-/** A connection without a call. */
+/** A connection with no call in progress. */
 struct IdleConnection
 {
     Stream m_stream;
-    Time m_until; /**< counts the time in which the machine is suspended: the target's does, too */
+    Time m_expiresAt; /**< by the injected clock, which includes time in suspension, as the target's does */
 };
 
-/** @returns how long the target keeps an idle connection, by its Keep-Alive header */
-std::chrono::milliseconds idleTimeOf (const HttpHeaders& headers)
+/** @returns how long a connection may be idle, by the target's Keep-Alive header */
+std::chrono::milliseconds idleTimeoutOf (const HttpHeaders& headers)
 {
     constexpr std::string_view parameter = "timeout=";
     const auto text = findHeader (headers, "Keep-Alive");
@@ -55,13 +55,13 @@
     unsigned seconds = 0;
 
     if (start == std::string_view::npos)
-        return usualIdleTime;
+        return defaultIdleTimeout;
 
     const auto digits = text.substr (start + parameter.size());
     const auto number = digits.substr (0, digits.find_first_not_of ("0123456789"));
 
     if (! absl::SimpleAtoi (absl::string_view (number.data(), number.size()), &seconds))
-        return usualIdleTime;
+        return defaultIdleTimeout;
 
     return std::max<std::chrono::milliseconds> (std::chrono::seconds (seconds) - idleMargin,
                                                 std::chrono::milliseconds::zero());
@@ -85,7 +85,7 @@
         const auto self = shared_from_this();
 
         if (! m_active.contains (call))
-            co_return; // abandoned before it began
+            co_return; // abandoned before it started
 
         auto stream = takeIdle();
         m_active[call] = stream;
@@ -102,28 +102,28 @@
         const auto sent = toMessage (std::move (request), m_target);
         const auto [writeError, written] = co_await http::async_write (*stream, sent, asTuple);
 
-        // A target may answer before it has read the whole request and then close: what it said still counts.
-        auto answer = co_await readAnswer (*stream, headers, sent.method() == http::verb::head);
+        // Even after a write error: a target may respond and close before it has read the whole request.
+        auto answer = co_await readResponse (*stream, headers, sent.method() == http::verb::head);
 
         if (m_active.erase (call) == 0)
-            co_return; // abandoned meanwhile
+            co_return; // abandoned in the meantime
 
         if (! answer.has_value())
             co_return m_done (call, TargetFailure::broken);
 
         if (! answer->m_closes && ! writeError)
-            keepIdle (stream, idleTimeOf (answer->m_headers));
+            keepIdle (stream, idleTimeoutOf (answer->m_headers));
 
         m_done (call, std::move (*answer));
     }
 
-    /** @returns the whole answer to the request; nullopt where none came */
-    asio::awaitable<std::optional<HttpResponse>> readAnswer (beast::tcp_stream& stream,
-                                                             const HttpHeaders& request, bool isHead)
+    /** @returns the complete response to the request, or nullopt if none was received */
+    asio::awaitable<std::optional<HttpResponse>> readResponse (beast::tcp_stream& stream,
+                                                               const HttpHeaders& request, bool isHead)
     {
         beast::flat_buffer buffer;
 
-        for (unsigned strays = 0; strays <= mostStrayAnswers; ++strays)
+        for (unsigned strayResponses = 0; strayResponses <= maxStrayResponses; ++strayResponses)
         {
             http::response_parser<http::string_body> parser;
             parser.body_limit (maximumBodyBytes);
@@ -139,7 +139,7 @@
             if (m_isAnswerTo && ! m_isAnswerTo (request, answer))
                 continue;
 
-            // Bytes behind the answer: its length was wrong, or it came twice.
+            // Bytes after the response: its length is wrong, or it was sent twice.
             if (buffer.size() > 0 && ! m_isAnswerTo)
                 co_return std::nullopt;
 
@@ -154,7 +154,7 @@
     {
         auto stream = std::make_shared<beast::tcp_stream> (m_context);
         m_active[call] = stream;
-        stream->expires_after (connectLimit);
+        stream->expires_after (connectTimeout);
         boost::system::error_code addressError;
         const auto address = asio::ip::make_address (m_target.m_ip, addressError);
         const auto [error] =
@@ -168,7 +168,7 @@
             co_return nullptr;
         }
 
-        // Abandoned while connecting: nothing was sent, nobody waits.
+        // Abandoned while connecting: nothing was sent.
         if (! m_active.contains (call))
             co_return nullptr;
 
@@ -178,7 +178,7 @@
         co_return stream;
     }
 
-    /** Keeps a connection for the next call, and drops it as soon as the target says anything on it. */
+    /** Returns a connection to the pool. It is dropped as soon as the target closes it or sends anything. */
     void keepIdle (const Stream& stream, std::chrono::milliseconds time)
     {
         m_idle.push_back ({ stream, m_time() + time });
@@ -192,20 +192,20 @@
         });
     }
 
-    /** Takes the connection that was used last, so that those a quiet target doesn't need grow old. */
+    /** Takes the most recently used connection, so that surplus ones expire. */
     Stream takeIdle()
     {
         while (! m_idle.empty())
         {
-            const auto [stream, until] = m_idle.back();
+            const auto [stream, expiresAt] = m_idle.back();
             m_idle.pop_back();
             boost::system::error_code error;
             stream->socket().cancel (error);
 
-            if (until <= m_time())
+            if (expiresAt <= m_time())
                 continue;
 
-            // Anything to read on an idle connection is its end or an answer nobody asked for.
+            // An idle connection that is readable was closed by the target, or holds an unsolicited response.
             stream->socket().non_blocking (true, error);
             char byte = 0;
             stream->socket().receive (asio::buffer (&byte, 1), tcp::socket::message_peek, error);
@@ -272,7 +272,7 @@
     m_implementation->abandon (call);
 }
 
-void TargetClient::dropIdle()
+void TargetClient::closeIdle()
 {
     m_implementation->m_idle.clear();
 }
--- a/modules/plankledge_runtime/TargetClient.h
+++ b/modules/plankledge_runtime/TargetClient.h
@@ -17,12 +17,12 @@
 
 //==============================================================================
 /**
-    Sends calls to the own target over a pool of HTTP/1.1 connections, one call at a
-    time on each.
+    Sends calls to the local target over a pool of HTTP/1.1 connections, one call at a time on
+    each.
 
-    A connection is used again only after a whole answer with nothing behind it, and not
-    past the idle time that the target names; one whose call was abandoned, or that says
-    anything unasked, is closed. Once a byte of a call may have left, a failure is
+    A connection is reused only after a complete response with no bytes after it, and only within
+    the target's idle timeout. It is closed if its call is abandoned, or if the target sends
+    unsolicited bytes. A failure after any byte of a call may have been sent is
     TargetFailure::broken.
 */
 class TargetClient
@@ -31,31 +31,31 @@
     //==============================================================================
     using Answer = std::variant<HttpResponse, TargetFailure>;
 
-    /** Called once for each call that is not abandoned. */
+    /** Called exactly once for each call that is not abandoned. */
     using Done = std::function<void (CallId call, Answer answer)>;
 
-    /** @returns whether an answer is the one to the request. Targets may send a second answer to an earlier
-        request where the next one is due; those are passed over. */
+    /** @returns whether a response belongs to the request. Responses that do not match are skipped,
+        such as a duplicate response to an earlier request. */
     using Matcher = std::function<bool (const HttpHeaders& request, const HttpResponse& answer)>;
 
-    /** @param isAnswerTo   empty: every answer counts as the one to the request before it, and bytes behind
-                            it spoil it, since nothing else tells whose they are
-        @param time         by which idle connections grow old
+    /** @param isAnswerTo   if empty, each response is taken as the one to the preceding request, and bytes
+                            after it make the call fail, since responses cannot be matched otherwise
+        @param time         the clock by which idle connections expire
     */
     TargetClient (boost::asio::io_context& context, Done done, Matcher isAnswerTo = {},
                   TimeSource time = BootClock::now);
     ~TargetClient();
 
-    /** @param target   where to send; idle connections to any other address are dropped */
+    /** @param target   the address to send to; idle connections to any other address are closed */
     void send (CallId call, const Endpoint& target, HttpRequest request);
 
-    /** Closes the call's connection; its Done is not called any more. */
+    /** Closes the call's connection. Done is not called for it. */
     void abandon (CallId call);
 
-    /** Closes all connections without a call. */
-    void dropIdle();
+    /** Closes all idle connections. */
+    void closeIdle();
 
-    /** @returns connections that were opened since the start */
+    /** @returns the number of connections opened since the start */
     std::uint64_t connectionsOpened() const noexcept;
 
 private:
--- a/modules/plankledge_runtime/TargetEdge.cpp
+++ b/modules/plankledge_runtime/TargetEdge.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr Duration probePeriod = Milliseconds (250);
+constexpr Duration probeInterval = Milliseconds (250);
 constexpr Duration probeTimeout = Milliseconds (500);
-constexpr Duration quietBeforeProbe = std::chrono::seconds (1);
+constexpr Duration idleBeforeProbe = std::chrono::seconds (1);
 
 } // namespace
 
@@ -55,7 +55,7 @@
     if (const auto* failure = std::get_if<TargetFailure> (&answer))
     {
         if (*failure == TargetFailure::broken)
-            ++m_metrics.m_targetBroken;
+            ++m_metrics.m_brokenTargetCalls;
         else
             m_state = TargetState::unreachable;
 
@@ -63,19 +63,19 @@
     }
 
     auto& response = std::get<HttpResponse> (answer);
-    noteWord (response);
+    processResponse (response);
     m_node.submit (TargetAnswered { call, response.m_status, std::move (response.m_contentType),
                                     std::move (response.m_body) });
 }
 
-void TargetEdge::noteWord (const HttpResponse& response)
+void TargetEdge::processResponse (const HttpResponse& response)
 {
-    m_lastWord = BootClock::now();
+    m_lastResponseTime = BootClock::now();
     const bool isDraining = findHeader (response.m_headers, "Plankledge-Target-State") == "draining";
-    observe (isDraining ? TargetState::draining : TargetState::serving);
+    updateState (isDraining ? TargetState::draining : TargetState::serving);
 }
 
-void TargetEdge::observe (TargetState state)
+void TargetEdge::updateState (TargetState state)
 {
     if (state == m_state)
         return;
@@ -87,9 +87,9 @@
 void TargetEdge::probe()
 {
     const auto now = BootClock::now();
-    const bool isQuiet = now - m_lastWord >= quietBeforeProbe;
+    const bool hasBeenIdle = now - m_lastResponseTime >= idleBeforeProbe;
 
-    if (! m_isProbing && (isQuiet || m_state != TargetState::serving))
+    if (! m_isProbing && (hasBeenIdle || m_state != TargetState::serving))
     {
         m_isProbing = true;
         HttpRequest request;
@@ -98,13 +98,13 @@
             m_isProbing = false;
 
             if (answer.ok())
-                noteWord (*answer);
+                processResponse (*answer);
             else if (absl::IsUnavailable (answer.status()))
-                observe (TargetState::unreachable);
+                updateState (TargetState::unreachable);
         });
     }
 
-    m_timer->m_probe.expires_after (probePeriod);
+    m_timer->m_probe.expires_after (probeInterval);
     m_timer->m_probe.async_wait ([this] (const boost::system::error_code& error) {
         if (! error)
             probe();
--- a/modules/plankledge_runtime/TargetEdge.h
+++ b/modules/plankledge_runtime/TargetEdge.h
@@ -11,7 +11,7 @@
 {
 
 //==============================================================================
-/** Where a node meets its target, in the project's own interface: calls, and probes while it is quiet. */
+/** Sends keyed requests to the local target, and probes its health while there is no traffic. */
 class TargetEdge
 {
 public:
@@ -19,7 +19,7 @@
     TargetEdge (boost::asio::io_context& context, Node& node, const Endpoint& target, NodeMetrics& metrics);
     ~TargetEdge();
 
-    /** Begins to look after the target. */
+    /** Starts probing the target. */
     void start() { probe(); }
 
     void carryOut (const DispatchToTarget& effect);
@@ -32,8 +32,8 @@
     struct Timer;
 
     void probe();
-    void observe (TargetState state);
-    void noteWord (const HttpResponse& response);
+    void updateState (TargetState state);
+    void processResponse (const HttpResponse& response);
     void onDone (CallId call, TargetClient::Answer answer);
 
     Node& m_node;
@@ -42,7 +42,7 @@
     TargetClient m_client;
     HttpClient m_probeClient;
     std::unique_ptr<Timer> m_timer;
-    Time m_lastWord;
+    Time m_lastResponseTime;
     TargetState m_state = TargetState::serving;
     bool m_isProbing = false;
 };
--- a/modules/plankledge_runtime/TraceFile.cpp
+++ b/modules/plankledge_runtime/TraceFile.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-constexpr std::uint32_t maximumPartBytes = 64U << 20U;
+constexpr std::uint32_t maximumBlockBytes = 64U << 20U;
 
 /** @returns false at the end of the file */
-absl::StatusOr<bool> readPart (std::ifstream& file, std::string& bytes)
+absl::StatusOr<bool> readBlock (std::ifstream& file, std::string& bytes)
 {
     std::uint32_t length = 0;
     file.read (reinterpret_cast<char*> (&length), sizeof (length));
@@ -21,30 +21,30 @@
     if (file.gcount() == 0)
         return false;
 
-    if (file.gcount() != sizeof (length) || length > maximumPartBytes)
-        return absl::DataLossError ("trace is cut short or not a trace");
+    if (file.gcount() != sizeof (length) || length > maximumBlockBytes)
+        return absl::DataLossError ("truncated trace, or not a trace file");
 
     bytes.resize (length);
     file.read (bytes.data(), length);
 
     if (file.gcount() != static_cast<std::streamsize> (length))
-        return absl::DataLossError ("trace is cut short");
+        return absl::DataLossError ("truncated trace");
 
     return true;
 }
 
-template <class Part> absl::StatusOr<Part> decodePart (const std::string& bytes)
+template <class Block> absl::StatusOr<Block> decodeBlock (const std::string& bytes)
 {
     try
     {
-        Part part;
+        Block block;
         BoundedInputArchive archive (bytes);
-        archive (part);
-        return part;
+        archive (block);
+        return block;
     }
     catch (const std::exception&)
     {
-        return absl::DataLossError ("trace has a part that can't be read");
+        return absl::DataLossError ("trace contains a block that cannot be decoded");
     }
 }
 
@@ -58,15 +58,15 @@
 
 void TraceWriter::write (const TraceHeader& header)
 {
-    writePart (encode (header));
+    writeBlock (encode (header));
 }
 
 void TraceWriter::write (const TraceStep& step)
 {
-    writePart (encode (step));
+    writeBlock (encode (step));
 }
 
-void TraceWriter::writePart (const std::string& bytes)
+void TraceWriter::writeBlock (const std::string& bytes)
 {
     const auto length = static_cast<std::uint32_t> (bytes.size());
     m_file.write (reinterpret_cast<const char*> (&length), sizeof (length));
@@ -79,12 +79,12 @@
 {
     std::ifstream file (path, std::ios::binary);
     std::string bytes;
-    const auto hasHeader = readPart (file, bytes);
+    const auto hasHeader = readBlock (file, bytes);
 
     if (! hasHeader.ok() || ! *hasHeader)
-        return absl::DataLossError ("no trace in this file");
+        return absl::DataLossError ("file contains no trace");
 
-    const auto header = decodePart<TraceHeader> (bytes);
+    const auto header = decodeBlock<TraceHeader> (bytes);
 
     if (! header.ok())
         return header.status();
@@ -97,7 +97,7 @@
 
     for (;;)
     {
-        const auto hasStep = readPart (file, bytes);
+        const auto hasStep = readBlock (file, bytes);
 
         if (! hasStep.ok())
             return hasStep.status();
@@ -105,7 +105,7 @@
         if (! *hasStep)
             return report;
 
-        const auto step = decodePart<TraceStep> (bytes);
+        const auto step = decodeBlock<TraceStep> (bytes);
 
         if (! step.ok())
             return step.status();
--- a/modules/plankledge_runtime/TraceFile.h
+++ b/modules/plankledge_runtime/TraceFile.h
@@ -11,7 +11,7 @@
 namespace plankledge
 {
 
-/** One step of a recorded life of a node: an event and the hash of the effects it had. */
+/** One step of a recorded run of a node: an event and the hash of its effects. */
 struct TraceStep
 {
     Event m_event;
@@ -20,13 +20,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_event, m_effectsHash); }
 };
 
-/** What a trace begins with. */
+/** The first block of a trace. */
 struct TraceHeader
 {
     std::uint32_t m_version = 1;
     NodeSettings m_settings;
     Time m_start;
-    std::uint64_t m_effectsHash = 0; /**< of the effects of the start */
+    std::uint64_t m_effectsHash = 0; /**< of the effects of Reducer::start() */
 
     template <class Archive> void serialize (Archive& archive)
     {
@@ -34,11 +34,11 @@
     }
 };
 
-/** @returns a hash of the effects' bytes */
+/** @returns a hash of the encoded effects */
 std::uint64_t hashEffects (const Effects& effects);
 
 //==============================================================================
-/** Writes a trace: each part with its length in 4 bytes in front. */
+/** Writes a trace: a sequence of blocks, each prefixed with its length in 4 bytes. */
 class TraceWriter
 {
 public:
@@ -54,24 +54,24 @@
 
 private:
     //==============================================================================
-    void writePart (const std::string& bytes);
+    void writeBlock (const std::string& bytes);
 
     std::ofstream m_file;
 };
 
 //==============================================================================
-/** What replaying a trace showed. */
+/** The result of replaying a trace. */
 struct ReplayReport
 {
     std::uint64_t m_events = 0;
-    std::uint64_t m_requests = 0; /**< of the events: requests of callers */
+    std::uint64_t m_requests = 0; /**< events that are requests of callers */
     std::uint64_t m_effects = 0;
-    std::optional<std::uint64_t> m_firstDifference; /**< the event whose effects differ; 0 is the start */
+    std::optional<std::uint64_t> m_firstDifference; /**< first event whose effects differ; 0: the start */
 };
 
 /** Applies a trace's events to a new reducer and compares the effects.
 
-    @returns the report, or an error where the file can't be read whole
+    @returns the report, or an error if the file is truncated or invalid
 */
 absl::StatusOr<ReplayReport> replayTrace (const std::string& path, const DeclarationsParser& parser);
 
--- a/tests/runtime/ReadBuffer_test.cpp
+++ b/tests/runtime/ReadBuffer_test.cpp
@@ -1,4 +1,4 @@
-/*  What a connection's buffer holds on to, and that no byte is lost or moved on its way. */
+/*  Guards against connection buffers that keep memory while idle, and against lost or reordered bytes. */
 
 #include "plankledge_runtime/ReadBuffer.h"
 
@@ -13,16 +13,16 @@
 
 using detail::ReadBuffer;
 
-/** Reads as much of the text as there is room for.
+/** Reads as much of the text as fits into the prepared region.
 
-    @returns how much was read
+    @returns the number of bytes read
 */
 std::size_t readSome (ReadBuffer& buffer, std::string_view text)
 {
-    const auto room = buffer.room();
-    const auto size = std::min (room.size(), text.size());
-    std::copy_n (text.begin(), size, room.begin());
-    buffer.onRead (size);
+    const auto region = buffer.prepare();
+    const auto size = std::min (region.size(), text.size());
+    std::copy_n (text.begin(), size, region.begin());
+    buffer.commit (size);
     return size;
 }
 
@@ -39,7 +39,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a connection with small frames never holds more than the smallest room")
+TEST_CASE ("small frames never allocate more than twice the minimum read size")
 {
     ReadBuffer buffer;
 
@@ -47,14 +47,14 @@
     {
         REQUIRE (readSome (buffer, textOf (300)) == 300);
         CHECK (buffer.bytes() == textOf (300));
-        buffer.drop (300);
+        buffer.consume (300);
         CHECK (buffer.bytes().empty());
     }
 
-    CHECK (buffer.size() <= 2 * ReadBuffer::smallestRoom);
+    CHECK (buffer.capacity() <= 2 * ReadBuffer::minReadSize);
 }
 
-TEST_CASE ("a large frame comes whole in few reads, and its room is given back")
+TEST_CASE ("a large frame is read completely in few reads, and its memory is freed")
 {
     ReadBuffer buffer;
     const auto frame = textOf (1U << 20U);
@@ -65,28 +65,28 @@
 
     CHECK (buffer.bytes() == frame);
     CHECK (reads <= 22); // 2 KB to 32 KB once each, then 64 KB
-    buffer.drop (frame.size());
-    CHECK (buffer.size() <= 2 * ReadBuffer::smallestRoom);
+    buffer.consume (frame.size());
+    CHECK (buffer.capacity() <= 2 * ReadBuffer::minReadSize);
 }
 
-TEST_CASE ("the start of a frame stays when those before it are used, wherever reads end")
+TEST_CASE ("consuming a frame keeps the start of the next one, wherever reads end")
 {
     const auto text = textOf (20000);
 
-    for (const std::size_t used : { 1U, 7U, 300U, 1999U })
+    for (const std::size_t consumedPerRead : { 1U, 7U, 300U, 1999U })
     {
         ReadBuffer buffer;
-        std::string taken;
+        std::string received;
 
-        for (std::size_t read = 0; taken.size() < text.size();)
+        for (std::size_t read = 0; received.size() < text.size();)
         {
             read += readSome (buffer, std::string_view (text).substr (read));
-            const auto part = std::min (used, buffer.bytes().size());
-            taken += buffer.bytes().substr (0, part);
-            buffer.drop (part);
+            const auto part = std::min (consumedPerRead, buffer.bytes().size());
+            received += buffer.bytes().substr (0, part);
+            buffer.consume (part);
         }
 
-        CHECK (taken == text);
+        CHECK (received == text);
         CHECK (buffer.bytes().empty());
     }
 }
