--- a/tests/runtime/SuspendedMachine_test.cpp
+++ b/tests/runtime/SuspendedMachine_test.cpp
@@ -6,9 +6,9 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <doctest/doctest.h>
 
-/*  While a machine is suspended the steady clock, by which timers run, stands still; the boot-time clock,
-   which decisions are stamped with, goes on. A connection to the target that was idle for longer than the
-   target keeps it was taken for a fresh one, since its age was kept by the steady clock. */
+/*  Guards against reuse of connections that expired while the machine was suspended, and against late
+   handling of expired deadlines: the steady clock of the timers stops meanwhile, the boot-time clock
+   continues. */
 namespace plankledge::test
 {
 
@@ -19,8 +19,8 @@
 
 constexpr Duration suspension = seconds (8);
 
-/** A boot-time clock that can be moved ahead of the steady one. */
-struct MovedClock
+/** A boot-time clock that can be set ahead of the steady one. */
+struct AdjustableClock
 {
     Duration m_ahead {};
 
@@ -37,8 +37,8 @@
     return acceptor.local_endpoint().port();
 }
 
-/** A target that answers all. */
-struct AnsweringTarget
+/** A target that responds to every request at once. */
+struct StubTarget
 {
     boost::asio::io_context m_context;
     HttpServer m_server { m_context,
@@ -48,16 +48,16 @@
                            },
                             [] (HttpServerError) { return HttpResponse(); } } };
     Endpoint m_endpoint { "127.0.0.1", freePort() };
-    unsigned m_answers = 0;
+    unsigned m_completedRequests = 0;
 
-    AnsweringTarget() { REQUIRE (m_server.listen (m_endpoint).ok()); }
+    StubTarget() { REQUIRE (m_server.listen (m_endpoint).ok()); }
 
-    void callOnce (TargetClient& client)
+    void sendOneRequest (TargetClient& client)
     {
-        const auto before = m_answers;
+        const auto before = m_completedRequests;
         client.send (before + 1, m_endpoint, {});
 
-        while (m_answers == before)
+        while (m_completedRequests == before)
             m_context.run_one_for (std::chrono::milliseconds (50));
     }
 };
@@ -65,26 +65,25 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a connection that was idle while the machine was suspended is not used again")
+TEST_CASE ("a connection that was idle while the machine was suspended is not reused")
 {
-    AnsweringTarget target;
-    MovedClock clock;
+    StubTarget target;
+    AdjustableClock clock;
     TargetClient client (
-        target.m_context, [&] (CallId, const TargetClient::Answer&) { ++target.m_answers; }, {},
+        target.m_context, [&] (CallId, const TargetClient::Answer&) { ++target.m_completedRequests; }, {},
         clock.source());
-    target.callOnce (client);
-    target.callOnce (client);
+    target.sendOneRequest (client);
+    target.sendOneRequest (client);
     CHECK (client.connectionsOpened() == 1);
     clock.m_ahead = suspension;
-    target.callOnce (client);
+    target.sendOneRequest (client);
     CHECK (client.connectionsOpened() == 2);
 }
 
-TEST_CASE (
-    "a node notices within a tenth of a second that its machine was suspended, and acts on what fell due")
+TEST_CASE ("a node detects within 150 ms that its machine was suspended, and handles expired deadlines")
 {
     boost::asio::io_context context;
-    MovedClock clock;
+    AdjustableClock clock;
     Logger logger ("node-1", Severity::error);
     NodeSettings settings;
     settings.m_self = { { "node-1", 7 }, "plans", "a", { "127.0.0.1", 1 }, MemberState::serving, 0 };
