--- a/modules/plankledge_runtime/HttpClient.cpp
+++ b/modules/plankledge_runtime/HttpClient.cpp
@@ -106,7 +106,7 @@
     asio::io_context context;
     absl::StatusOr<HttpResponse> result = absl::UnknownError ("request did not complete");
     HttpClient (context).send (endpoint, std::move (request), timeout,
-                               [&result] (auto answer) { result = std::move (answer); });
+                               [&result] (auto response) { result = std::move (response); });
     context.run();
     return result;
 }
--- a/modules/plankledge_runtime/PeerLinks.h
+++ b/modules/plankledge_runtime/PeerLinks.h
@@ -27,10 +27,18 @@
     //==============================================================================
     struct Hooks
     {
+        /** Called for each message. The link is 0 for connections that this node opened. */
         std::function<void (LinkId, const NodeId& from, PeerMessage)> m_onMessage;
+
+        /** Connecting failed. Passes the ids of the calls that were queued for it. */
         std::function<void (const InstanceName&, std::vector<CallId> unsent)> m_onUnreachable;
+
+        /** A connection that this node opened was closed after it had been established. */
         std::function<void (const InstanceName&)> m_onLost;
+
+        /** A connection that a peer opened was closed. */
         std::function<void (LinkId)> m_onLinkClosed;
+
         std::function<void (WireError)> m_onBadFrame;
 
         /** Called for each frame before it is queued, with its encoded size. */
--- a/modules/plankledge_runtime/PlatformClient.cpp
+++ b/modules/plankledge_runtime/PlatformClient.cpp
@@ -30,20 +30,20 @@
         request.m_headers.emplace_back ("If-None-Match", m_listETag);
 
     m_client.send (m_platform, std::move (request), timeout,
-                   [this, done = std::move (done)] (const auto& answer) {
-                       if (! answer.ok())
+                   [this, done = std::move (done)] (const auto& response) {
+                       if (! response.ok())
                            return done (toStatus (PlatformError::unavailable));
 
-                       m_bytes += typicalHeaderBytes + answer->m_body.size();
+                       m_bytes += typicalHeaderBytes + response->m_body.size();
 
-                       if (answer->m_status == notModified)
+                       if (response->m_status == notModified)
                            return;
 
-                       if (answer->m_status != okStatus)
+                       if (response->m_status != okStatus)
                            return done (toStatus (PlatformError::unavailable));
 
-                       m_listETag = std::string (findHeader (answer->m_headers, "ETag"));
-                       done (decodeList (answer->m_body));
+                       m_listETag = std::string (findHeader (response->m_headers, "ETag"));
+                       done (decodeList (response->m_body));
                    });
 }
 
@@ -53,12 +53,12 @@
     HttpRequest request;
     request.m_target = fmt::format ("/streams/{}?from={}&limit=500", stream, from);
     m_client.send (m_platform, std::move (request), timeout,
-                   [this, done = std::move (done)] (const auto& answer) {
-                       if (! answer.ok() || answer->m_status != okStatus)
+                   [this, done = std::move (done)] (const auto& response) {
+                       if (! response.ok() || response->m_status != okStatus)
                            return done (toStatus (PlatformError::unavailable));
 
-                       m_bytes += typicalHeaderBytes + answer->m_body.size();
-                       done (decodeLogPage (answer->m_body));
+                       m_bytes += typicalHeaderBytes + response->m_body.size();
+                       done (decodeLogPage (response->m_body));
                    });
 }
 
@@ -71,10 +71,11 @@
     request.m_contentType = "application/octet-stream";
     request.m_body = data;
     m_bytes += typicalHeaderBytes + data.size();
-    m_client.send (m_platform, std::move (request), timeout, [done = std::move (done)] (const auto& answer) {
-        const bool isAppended = answer.ok() && answer->m_status == okStatus;
-        done (isAppended ? absl::OkStatus() : toStatus (PlatformError::unavailable));
-    });
+    m_client.send (m_platform, std::move (request), timeout,
+                   [done = std::move (done)] (const auto& response) {
+                       const bool isAppended = response.ok() && response->m_status == okStatus;
+                       done (isAppended ? absl::OkStatus() : toStatus (PlatformError::unavailable));
+                   });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -103,18 +103,18 @@
         const auto [writeError, written] = co_await http::async_write (*stream, sent, asTuple);
 
         // Even after a write error: a target may respond and close before it has read the whole request.
-        auto answer = co_await readResponse (*stream, headers, sent.method() == http::verb::head);
+        auto response = co_await readResponse (*stream, headers, sent.method() == http::verb::head);
 
         if (m_active.erase (call) == 0)
             co_return; // abandoned in the meantime
 
-        if (! answer.has_value())
+        if (! response.has_value())
             co_return m_done (call, TargetFailure::broken);
 
-        if (! answer->m_closes && ! writeError)
-            keepIdle (stream, idleTimeoutOf (answer->m_headers));
+        if (! response->m_closes && ! writeError)
+            keepIdle (stream, idleTimeoutOf (response->m_headers));
 
-        m_done (call, std::move (*answer));
+        m_done (call, std::move (*response));
     }
 
     /** @returns the complete response to the request, or nullopt if none was received */
@@ -134,17 +134,17 @@
             if (error)
                 co_return std::nullopt;
 
-            auto answer = toResponse (parser.release());
+            auto response = toResponse (parser.release());
 
-            if (m_isAnswerTo && ! m_isAnswerTo (request, answer))
+            if (m_isAnswerTo && ! m_isAnswerTo (request, response))
                 continue;
 
             // Bytes after the response: its length is wrong, or it was sent twice.
             if (buffer.size() > 0 && ! m_isAnswerTo)
                 co_return std::nullopt;
 
-            answer.m_closes = answer.m_closes || buffer.size() > 0;
-            co_return answer;
+            response.m_closes = response.m_closes || buffer.size() > 0;
+            co_return response;
         }
 
         co_return std::nullopt;
--- a/modules/plankledge_runtime/TargetClient.h
+++ b/modules/plankledge_runtime/TargetClient.h
@@ -36,7 +36,7 @@
 
     /** @returns whether a response belongs to the request. Responses that do not match are skipped,
         such as a duplicate response to an earlier request. */
-    using Matcher = std::function<bool (const HttpHeaders& request, const HttpResponse& answer)>;
+    using Matcher = std::function<bool (const HttpHeaders& request, const HttpResponse& response)>;
 
     /** @param isAnswerTo   if empty, each response is taken as the one to the preceding request, and bytes
                             after it make the call fail, since responses cannot be matched otherwise
