--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -1,7 +1,7 @@
-/*  A random exploration of the at-most-once protocol over the real reducers, in virtual time: crashes,
-   restarts in place, freezes, one-way cuts, joins, planned leaves, lagging lists, slow messages, lost
-   datagrams. Every mechanism has a row in which it alone is off and violations must appear. Trials and first
-   seed come from the environment for longer runs. */
+/*  Fuzzes the at-most-once protocol with the real reducers in virtual time: crashes, restarts, freezes,
+    one-way partitions, joins, planned stops, delayed list updates, slow messages and lost datagrams. Each
+    mechanism has a row that disables only this one and must find violations. PLANKLEDGE_FUZZ_FIRST and
+    PLANKLEDGE_FUZZ_TRIALS set the first seed and the number of trials. */
 
 #include "plankledge_core/Hash.h"
 #include "support/Rig.h"
@@ -19,21 +19,22 @@
 constexpr const char* declarations = R"({"services":{"lodgement":{"slots":10,"operations":{"lodge":
     {"class":"critical","repeatable":false,"longest_wait_ms":2000,"retry_budget":1,"record_window_ms":8000}}}}})";
 
-constexpr Duration warmUp =
-    std::chrono::seconds (13); // beyond record window and longest wait: members count as old
-constexpr Duration length = std::chrono::seconds (24);
+/** Exceeds record window plus longest wait, so that members are no longer new. */
+constexpr Duration warmUp = std::chrono::seconds (13);
 
-std::uint64_t fromEnvironment (const char* name, std::uint64_t otherwise)
+constexpr Duration trialDuration = std::chrono::seconds (24);
+
+std::uint64_t fromEnvironment (const char* name, std::uint64_t defaultValue)
 {
     const char* value = std::getenv (name);
-    return value != nullptr ? std::strtoull (value, nullptr, 10) : otherwise;
+    return value != nullptr ? std::strtoull (value, nullptr, 10) : defaultValue;
 }
 
-/** @returns what a protocol effect says; empty for the rest */
+/** @returns a description of a protocol effect; empty for other effects */
 std::string describe (const Effect& effect)
 {
     if (const auto* dispatch = std::get_if<DispatchToTarget> (&effect))
-        return fmt::format ("runs attempt {}", dispatch->m_idempotency.m_attempt);
+        return fmt::format ("dispatches attempt {}", dispatch->m_idempotency.m_attempt);
 
     if (const auto* answer = std::get_if<AnswerRequest> (&effect))
         return fmt::format ("answers ticket {} {} {}", answer->m_ticket, nameOf (answer->m_result.m_outcome),
@@ -48,13 +49,13 @@
         return fmt::format ("replies message {} to {}", reply->m_message.index(), reply->m_instance);
 
     if (const auto* log = std::get_if<WriteLog> (&effect))
-        return fmt::format ("notes {} {}", static_cast<int> (log->m_notice), log->m_subject);
+        return fmt::format ("logs notice {} {}", static_cast<int> (log->m_notice), log->m_subject);
 
     return {};
 }
 
 //==============================================================================
-/** One random life of a few nodes and one key. */
+/** One random run of a few nodes that receive attempts with one key. */
 class Trial
 {
 public:
@@ -63,7 +64,7 @@
     {
         m_key = fmt::format ("key-{}", seed);
         m_rig.declare (declarations);
-        m_rig.m_adjust = [mechanisms] (NodeSettings& settings) {
+        m_rig.m_adjustSettings = [mechanisms] (NodeSettings& settings) {
             settings.m_mechanisms = mechanisms;
             settings.m_heartbeatPeriod = std::chrono::seconds (1);
             settings.m_listLagBound = std::chrono::seconds (20);
@@ -76,7 +77,7 @@
         };
     }
 
-    /** @returns what was violated, or nothing */
+    /** @returns a description of the violation, or an empty text */
     std::string run()
     {
         const auto count = 2 + m_rig.random().below (3);
@@ -90,7 +91,7 @@
         if (std::getenv ("PLANKLEDGE_FUZZ_SHOW") != nullptr)
             m_rig.m_onEffect = [this] (const InstanceName& instance, const Effect& effect) {
                 if (const auto text = describe (effect); ! text.empty())
-                    show (instance, text);
+                    printStep (instance, text);
             };
 
         m_rig.m_listDropLag = Milliseconds (500 + m_rig.random().below (12000));
@@ -107,14 +108,14 @@
         planRequests();
         planFaults();
 
-        // A step may add later ones.
+        // A step may insert later steps.
         for (auto step = m_steps.begin(); step != m_steps.end(); ++step)
         {
             m_rig.run (step->first - elapsed());
             step->second();
         }
 
-        m_rig.run (length - elapsed());
+        m_rig.run (trialDuration - elapsed());
         return violation();
     }
 
@@ -170,7 +171,7 @@
     {
         const auto entry = anyInstance();
 
-        show (entry, fmt::format ("gets attempt {} of age {}", attempt, toMilliseconds (age)));
+        printStep (entry, fmt::format ("receives attempt {} of age {} ms", attempt, toMilliseconds (age)));
 
         if (m_rig.isAlive (entry))
             m_sent.push_back ({ attempt, m_rig.request (entry, makeOnce (m_key, attempt, age)) });
@@ -190,7 +191,7 @@
     void fault (int kind)
     {
         const auto instance = anyInstance();
-        show (instance, fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 cut)", kind));
+        printStep (instance, fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 cut)", kind));
 
         switch (kind)
         {
@@ -208,17 +209,17 @@
 
         const auto other = anyInstance();
         m_rig.cut (instance, other);
-        show (other, "is cut off from it");
+        printStep (other, "does not receive its messages");
 
         if (chance (50))
             m_rig.cut (other, instance);
 
-        const auto lasts =
+        const auto cutDuration =
             pick<Duration> ({ Milliseconds (1000), Milliseconds (4000), Milliseconds (10000) });
-        m_steps.emplace (elapsed() + lasts, [this] { m_rig.mend(); });
+        m_steps.emplace (elapsed() + cutDuration, [this] { m_rig.healAll(); });
     }
 
-    void show (const InstanceName& instance, const std::string& text) const
+    void printStep (const InstanceName& instance, const std::string& text) const
     {
         if (m_rig.m_onEffect)
             fmt::print ("{:6} {} {}\n", toMilliseconds (elapsed()), instance, text);
@@ -239,8 +240,8 @@
             if (answer == nullptr || answer->m_result.m_outcome != Outcome::notRun)
                 continue;
 
-            // A caller that has sent again listens to its later sending; the answer speaks of this and
-            // earlier ones.
+            // An answer covers its own attempt and earlier ones: once a caller has retried, it relies on
+            // the answer to the latest attempt.
             for (const auto& run : runs)
                 if (run.m_attempt == sent.m_attempt ||
                     (run.m_attempt < sent.m_attempt && run.m_at < answer->m_at))
@@ -289,17 +290,17 @@
 }
 
 //==============================================================================
-/** A mechanism that is switched off, and where to look for the loss.
+/** A mechanism to disable, and the seeds at which a violation is found without it.
 
-    The seeds are near one that shows it, so that the search is short. A change of the reducer's random
-   choices shifts them: then look with PLANKLEDGE_FUZZ_OFF=name and PLANKLEDGE_FUZZ_TRIALS=60000.
+    A change of the reducers' random choices shifts these seeds. To find new ones, run with
+    PLANKLEDGE_FUZZ_OFF=name and PLANKLEDGE_FUZZ_TRIALS=60000.
 */
 struct Row
 {
     const char* m_name;
     bool Mechanisms::*m_mechanism;
     std::uint64_t m_firstSeed;
-    std::uint64_t m_mostTrials;
+    std::uint64_t m_maxTrials;
 };
 
 constexpr Row rows[] = {
@@ -315,7 +316,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("at most once holds in random lives of a few nodes")
+TEST_CASE ("a key runs at most once in random runs with faults")
 {
     const auto first = fromEnvironment ("PLANKLEDGE_FUZZ_FIRST", 1);
     const auto trials = fromEnvironment ("PLANKLEDGE_FUZZ_TRIALS", 400);
@@ -326,7 +327,7 @@
     CHECK (result.m_ran > trials / 2);
 }
 
-TEST_CASE ("each mechanism is needed: without it the exploration finds a violation")
+TEST_CASE ("each mechanism is needed: with it disabled, fuzzing finds a violation")
 {
     const char* only = std::getenv ("PLANKLEDGE_FUZZ_OFF");
 
@@ -338,7 +339,7 @@
         Mechanisms mechanisms;
         mechanisms.*row.m_mechanism = false;
         const auto first = fromEnvironment ("PLANKLEDGE_FUZZ_FIRST", row.m_firstSeed);
-        const auto trials = fromEnvironment ("PLANKLEDGE_FUZZ_TRIALS", row.m_mostTrials);
+        const auto trials = fromEnvironment ("PLANKLEDGE_FUZZ_TRIALS", row.m_maxTrials);
         const auto result = explore (mechanisms, first, trials, only == nullptr);
         MESSAGE (fmt::format ("without {}: {} violations in {} {}", row.m_name, result.m_violations, trials,
                               result.m_first));
@@ -347,23 +348,23 @@
 }
 
 //==============================================================================
-/** A node that one of two members has not heard of: j1 runs a first attempt, n0 gets its resending.
+/** Simulates a member, j1, that n0 does not know: j1 runs the first attempt, and n0 receives the retry.
 
-    @param mechanisms   with or without the one that lets n0 find out
-    @param leaves       n1, which knows both, leaves before the resending
-    @returns how often the key ran
+    @param mechanisms   with or without the one by which n0 learns of j1
+    @param leaves       whether n1, which knows both, leaves before the retry
+    @returns            the number of dispatches of the key
 */
-std::size_t runsWithUnheardJoiner (const Mechanisms& mechanisms, bool leaves)
+std::size_t runsWithUnknownMember (const Mechanisms& mechanisms, bool leaves)
 {
     Rig rig (3);
     rig.declare (declarations);
-    rig.m_adjust = [&mechanisms] (NodeSettings& settings) { settings.m_mechanisms = mechanisms; };
+    rig.m_adjustSettings = [&mechanisms] (NodeSettings& settings) { settings.m_mechanisms = mechanisms; };
     rig.add ("n0", "lodgement");
     rig.add ("n1", "lodgement");
     rig.run (warmUp);
 
-    // Only n1 hears of the joiner: no list, no log, no datagrams, no way between n0 and it.
-    rig.m_listAppearLag = warmUp; // the first two are listed, the joiner is not within this test
+    // Only n1 learns of the joiner: list, log and datagrams are unavailable, and n0 and j1 are partitioned.
+    rig.m_listAppearLag = warmUp; // n0 and n1 are listed, j1 is not during this test
     rig.m_isLogDown = true;
     rig.m_losesDatagram = [] { return true; };
     rig.cut ("n0", "j1");
@@ -372,7 +373,7 @@
     rig.run (std::chrono::seconds (4));
     REQUIRE (rig.reducer ("j1").isEstablished());
 
-    // A key whose order is j1, n0, n1.
+    // Finds a key with the rendezvous order j1, n0, n1.
     std::string key;
 
     for (int number = 0; key.empty(); ++number)
@@ -380,9 +381,9 @@
         const auto name = fmt::format ("key-{}", number);
         const auto hash = hashText ("lodgement/lodge/" + name);
         const auto joiner = rendezvousWeight (hash, "j1");
-        const auto asker = rendezvousWeight (hash, "n0");
+        const auto inquirer = rendezvousWeight (hash, "n0");
 
-        if (joiner > asker && asker > rendezvousWeight (hash, "n1"))
+        if (joiner > inquirer && inquirer > rendezvousWeight (hash, "n1"))
             key = name;
     }
 
@@ -402,20 +403,20 @@
     return rig.runs().size();
 }
 
-TEST_CASE ("an asker learns of members it has not heard of from answers to its inquiry")
+TEST_CASE ("a node learns of unknown members from the answers to its inquiry")
 {
     Mechanisms off;
     off.m_membersInAnswers = false;
-    CHECK (runsWithUnheardJoiner ({}, false) == 1);
-    CHECK (runsWithUnheardJoiner (off, false) == 2);
+    CHECK (runsWithUnknownMember ({}, false) == 1);
+    CHECK (runsWithUnknownMember (off, false) == 2);
 }
 
-TEST_CASE ("a leaver tells of the members it knows")
+TEST_CASE ("a leave notice contains the members that the leaving node knows")
 {
     Mechanisms off;
     off.m_membersInLeaveNotice = false;
-    CHECK (runsWithUnheardJoiner ({}, true) == 1);
-    CHECK (runsWithUnheardJoiner (off, true) == 2);
+    CHECK (runsWithUnknownMember ({}, true) == 1);
+    CHECK (runsWithUnknownMember (off, true) == 2);
 }
 
 } // namespace plankledge::test
--- a/tests/contracts/BadInput_test.cpp
+++ b/tests/contracts/BadInput_test.cpp
@@ -1,5 +1,5 @@
-/*  Contract of every address of a running node: wrong, missing, oversized and hostile input gets a typed
-   error and a counter, and requests that come after it are served as before. */
+/*  Contract of all listeners of a running node: missing, malformed, oversized and hostile input is rejected
+    with a typed error and counted, and later requests are served. */
 
 #include "plankledge_wire/FrameCodec.h"
 #include "support/Cluster.h"
@@ -18,7 +18,7 @@
 
 constexpr const char* path = "/plans/deliver";
 
-/** Sends bytes over TCP and reads what comes until the peer closes. */
+/** Sends bytes over TCP and reads until the peer closes the connection. */
 std::string sendRaw (const Endpoint& endpoint, const std::string& bytes)
 {
     asio::io_context context;
@@ -54,33 +54,33 @@
     return {
         { "no operation", "/plans", {}, "", 400, "bad-path" },
         { "no service", "//deliver", {}, "", 400, "bad-path" },
-        { "a name too long", "/" + std::string (100, 'x') + "/deliver", {}, "", 400, "bad-path" },
-        { "an unknown service", "/nothing/deliver", {}, "", 404, "unknown-service" },
-        { "an unknown operation", "/plans/nothing", {}, "", 404, "unknown-operation" },
-        { "no key where one is needed", "/lodgement/lodge", {}, "", 400, "missing-idempotency-key" },
-        { "a key too long",
+        { "service name too long", "/" + std::string (100, 'x') + "/deliver", {}, "", 400, "bad-path" },
+        { "unknown service", "/nothing/deliver", {}, "", 404, "unknown-service" },
+        { "unknown operation", "/plans/nothing", {}, "", 404, "unknown-operation" },
+        { "missing key of an operation that is not repeatable",
+          "/lodgement/lodge",
+          {},
+          "",
+          400,
+          "missing-idempotency-key" },
+        { "key too long",
           "/lodgement/lodge",
           { { "Idempotency-Key", std::string (300, 'k') } },
           "",
           400,
           "bad-idempotency-key" },
-        { "a key with a space",
+        { "key with a space",
           "/lodgement/lodge",
           { { "Idempotency-Key", "a b" } },
           "",
           400,
           "bad-idempotency-key" },
         { "attempt 0", path, { { "Plankledge-Attempt", "0" } }, "", 400, "bad-attempt" },
-        { "attempt in words", path, { { "Plankledge-Attempt", "first" } }, "", 400, "bad-attempt" },
-        { "a negative age", path, { { "Plankledge-Age-Ms", "-5" } }, "", 400, "bad-age" },
-        { "an age beyond numbers",
-          path,
-          { { "Plankledge-Age-Ms", "99999999999999999999" } },
-          "",
-          400,
-          "bad-age" },
-        { "no time at all", path, { { "Plankledge-Timeout-Ms", "0" } }, "", 400, "bad-timeout" },
-        { "a body too large", path, {}, std::string (maximumBodyBytes + 1, 'b'), 413, "request-too-large" },
+        { "attempt not a number", path, { { "Plankledge-Attempt", "first" } }, "", 400, "bad-attempt" },
+        { "negative age", path, { { "Plankledge-Age-Ms", "-5" } }, "", 400, "bad-age" },
+        { "age out of range", path, { { "Plankledge-Age-Ms", "99999999999999999999" } }, "", 400, "bad-age" },
+        { "timeout 0", path, { { "Plankledge-Timeout-Ms", "0" } }, "", 400, "bad-timeout" },
+        { "body too large", path, {}, std::string (maximumBodyBytes + 1, 'b'), 413, "request-too-large" },
         { "headers too large",
           path,
           { { "X-Large", std::string (maximumHeaderBytes, 'h') } },
@@ -97,7 +97,7 @@
     WireError m_error;
 };
 
-/** @returns the version that frames and datagrams begin with, as it goes over the wire */
+/** @returns the encoded protocol version, with which frames and datagrams begin */
 std::string versionBytes()
 {
     return { static_cast<char> (protocolVersion & 0xFF), static_cast<char> (protocolVersion >> 8) };
@@ -108,15 +108,15 @@
     const Frame good { protocolVersion, { "stranger", 1 }, "n1", CallRequest {} };
     auto wrongVersion = good;
     wrongVersion.m_version = 77;
-    auto elsewhere = good;
-    elsewhere.m_to = "n2";
+    auto otherReceiver = good;
+    otherReceiver.m_to = "n2";
     return {
-        { "a length beyond all", std::string ("\xff\xff\xff\x7f", 4) + "x", WireError::tooLarge },
-        { "an HTTP request", "GET / HTTP/1.1\r\n\r\n", WireError::tooLarge },
-        { "another version", encodeFrame (wrongVersion), WireError::wrongVersion },
-        { "for another instance", encodeFrame (elsewhere), WireError::wrongReceiver },
+        { "length out of range", std::string ("\xff\xff\xff\x7f", 4) + "x", WireError::tooLarge },
+        { "HTTP request", "GET / HTTP/1.1\r\n\r\n", WireError::tooLarge },
+        { "wrong version", encodeFrame (wrongVersion), WireError::wrongVersion },
+        { "addressed to another instance", encodeFrame (otherReceiver), WireError::wrongReceiver },
         { "zeros", std::string (64, '\0'), WireError::truncated },
-        { "a frame of noise", std::string ("\x08\0\0\0", 4) + versionBytes() + "noise!",
+        { "frame with a malformed payload", std::string ("\x08\0\0\0", 4) + versionBytes() + "noise!",
           WireError::malformed },
     };
 }
@@ -150,7 +150,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("callers and targets: bad requests")
+TEST_CASE ("callers and targets: bad requests are rejected")
 {
     Fixture fixture;
 
@@ -183,7 +183,7 @@
     fixture.checkStillServes();
 }
 
-TEST_CASE ("node to node: bad frames end their connection only")
+TEST_CASE ("node to node: a bad frame closes only its own connection")
 {
     Fixture fixture;
     auto slow = fixture.m_cluster.callLater ("n2", path);
@@ -214,7 +214,7 @@
     fixture.checkStillServes();
 }
 
-TEST_CASE ("the platform: records and lists that are not ours")
+TEST_CASE ("the platform: malformed records and list entries are counted and ignored")
 {
     Fixture fixture;
     const auto put = [&] (const std::string& method, const std::string& target, const std::string& body) {
@@ -236,7 +236,7 @@
     fixture.checkStillServes();
 }
 
-TEST_CASE ("admin: unknown pages and settings")
+TEST_CASE ("admin and plankctl: unknown paths, invalid arguments and invalid declarations")
 {
     Fixture fixture;
     CHECK (sendRaw (fixture.m_cluster.endpoint ("n1", 7003), "GET /nothing HTTP/1.1\r\n\r\n")
--- a/tests/contracts/ConfigurationJudge_test.cpp
+++ b/tests/contracts/ConfigurationJudge_test.cpp
@@ -1,5 +1,5 @@
-/*  Contract of the judge of the configuration stream: all readers come to the same verdicts, whatever part of
-   the stream they saw, and the version never goes down. */
+/*  Contract of ConfigurationJudge: all readers of the configuration stream reach the same verdicts, whichever
+    part of the stream they read, and the version never decreases. */
 
 #include "plankledge_policy/configuration/ConfigurationJudge.h"
 #include <doctest/doctest.h>
@@ -38,67 +38,67 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a proposal is accepted if its base is in force at its place")
+TEST_CASE ("a proposal is accepted if its base is in force at its offset")
 {
     auto judge = makeJudge();
-    const auto judged =
+    const auto results =
         judge.apply (read (0, 0,
                            { proposal (0, 0, "one"), proposal (1, 0, "late"), proposal (2, 1, "bad"),
                              proposal (3, 1, "two"), proposal (4, 9, "far") },
                            5));
-    REQUIRE (judged.size() == 5);
-    CHECK (judged[0].m_verdict == Verdict::accepted);
-    CHECK (judged[1].m_verdict == Verdict::conflict);
-    CHECK (judged[2].m_verdict == Verdict::invalid);
-    CHECK (judged[3].m_verdict == Verdict::accepted);
-    CHECK (judged[4].m_verdict == Verdict::conflict);
+    REQUIRE (results.size() == 5);
+    CHECK (results[0].m_verdict == Verdict::accepted);
+    CHECK (results[1].m_verdict == Verdict::conflict);
+    CHECK (results[2].m_verdict == Verdict::invalid);
+    CHECK (results[3].m_verdict == Verdict::accepted);
+    CHECK (results[4].m_verdict == Verdict::conflict);
     CHECK (judge.state() == ConfigurationState { 2, 4, "two" });
 }
 
-TEST_CASE ("a reader that misses the start waits for a checkpoint or a peer")
+TEST_CASE ("a reader that missed records waits for a checkpoint or for a peer's state")
 {
     auto judge = makeJudge();
     CHECK (judge.apply (read (0, 5, { proposal (5, 2, "three") }, 6)).empty());
     CHECK (judge.state().m_version == 0);
 
-    SUBCASE ("a checkpoint from before the proposal lets it be judged")
+    SUBCASE ("a checkpoint as of the offset before the proposal")
     {
-        const auto judged = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
-        REQUIRE (judged.size() == 1);
-        CHECK (judged[0].m_verdict == Verdict::accepted);
+        const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
+        REQUIRE (results.size() == 1);
+        CHECK (results[0].m_verdict == Verdict::accepted);
         CHECK (judge.state().m_version == 3);
     }
 
-    SUBCASE ("a checkpoint that knows the proposal already")
+    SUBCASE ("a checkpoint that includes the proposal")
     {
         judge.apply (read (6, 5, { checkpoint (6, 3, 5, "three") }, 7));
         CHECK (judge.state().m_version == 3);
     }
 
-    SUBCASE ("a checkpoint from before the gap proves nothing")
+    SUBCASE ("a checkpoint from before the gap is ignored")
     {
         judge.apply (read (6, 5, { checkpoint (6, 1, 2, "one") }, 7));
         CHECK (judge.state().m_version == 0);
     }
 
-    SUBCASE ("a peer that is further on")
+    SUBCASE ("a newer state of a peer")
     {
         CHECK (judge.adopt ({ 7, 20, "seven" }));
         CHECK (judge.nextOffset() == 21);
         CHECK (judge.canJudge());
     }
 
-    SUBCASE ("a peer that is behind the gap, then a checkpoint")
+    SUBCASE ("a peer's state from before the gap, then a checkpoint")
     {
         CHECK (judge.adopt ({ 1, 2, "one" }));
         CHECK_FALSE (judge.canJudge());
-        const auto judged = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
-        REQUIRE (judged.size() == 1);
+        const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
+        REQUIRE (results.size() == 1);
         CHECK (judge.state().m_version == 3);
     }
 }
 
-TEST_CASE ("nothing brings a lower version back")
+TEST_CASE ("the version never decreases")
 {
     auto judge = makeJudge();
     judge.apply (read (0, 0, { proposal (0, 0, "one"), proposal (1, 1, "two") }, 2));
@@ -107,25 +107,26 @@
     CHECK (judge.state().m_version == 2);
     CHECK (judge.state().m_text == "two");
 
-    // A log that answers for a part it was not asked for, or goes back, is not believed.
+    // Reads of another range than requested, or of a log that has become shorter, are ignored.
     CHECK (judge.apply (read (0, 0, { proposal (0, 2, "three") }, 1)).empty());
     CHECK (judge.apply (read (4, 0, {}, 1)).empty());
     CHECK (judge.state().m_version == 2);
 }
 
-TEST_CASE ("all readers of one log end with one version, wherever they start and whomever they ask")
+TEST_CASE (
+    "all readers of a log reach the same version, whatever offset they start at and whichever peers they ask")
 {
     std::mt19937_64 random (9);
 
     for (int round = 0; round < 300; ++round)
     {
         std::vector<ConfigurationRecord> log;
-        auto truth = makeJudge();
+        auto reference = makeJudge();
         std::vector<ConfigurationState> states;
 
         for (LogOffset offset = 0; offset < 40; ++offset)
         {
-            const auto version = truth.state().m_version;
+            const auto version = reference.state().m_version;
             const bool isCheckpoint = random() % 4 == 0 && ! states.empty();
 
             if (isCheckpoint)
@@ -140,8 +141,8 @@
                     proposal (offset, version - std::min<std::uint64_t> (version, random() % 2), "text"));
             }
 
-            truth.apply (read (offset, 0, { log.back() }, offset + 1));
-            states.push_back (truth.state());
+            reference.apply (read (offset, 0, { log.back() }, offset + 1));
+            states.push_back (reference.state());
         }
 
         auto reader = makeJudge();
@@ -168,7 +169,7 @@
         }
 
         if (reader.canJudge() && reader.state().m_version > 0)
-            CHECK (reader.state().m_version == truth.state().m_version);
+            CHECK (reader.state().m_version == reference.state().m_version);
     }
 }
 
--- a/tests/contracts/Declarations_test.cpp
+++ b/tests/contracts/Declarations_test.cpp
@@ -1,4 +1,4 @@
-/*  Contract of the declarations' format: all faults at once, each with its place. */
+/*  Contract of the declarations' format: all faults are reported at once, each with its path. */
 
 #include "plankledge_formats/DeclarationsJson.h"
 #include <doctest/doctest.h>
@@ -48,7 +48,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("faults in declarations are all found, with their places")
+TEST_CASE ("all faults in declarations are reported, with their paths")
 {
     for (const auto& row : rows)
     {
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_CASE ("valid declarations are read whole")
+TEST_CASE ("valid declarations are parsed, with defaults for missing fields")
 {
     const auto declarations = parseValidDeclarations (R"({"services":{"deposits":{"slots":50,"operations":{
         "pay":{"class":"critical","repeatable":false,"longest_wait_ms":3000,"retry_budget":1,"record_window_ms":30000},
--- a/tests/contracts/HttpServer_test.cpp
+++ b/tests/contracts/HttpServer_test.cpp
@@ -19,7 +19,7 @@
 using asio::ip::tcp;
 using std::chrono::milliseconds;
 
-/** The server's thread stands still for this when it gets a request for "/busy". */
+/** A request for "/busy" blocks the server's thread for this time. */
 constexpr milliseconds busyTime { 100 };
 
 const std::string request = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -32,8 +32,7 @@
     return { "127.0.0.1", acceptor.local_endpoint().port() };
 }
 
-/** A server that answers each request after a time, in a thread of its own. Left alone if it stands still, so
-    that a test fails and does not hang. */
+/** A server that answers each request after 200 ms, or after blocking its thread for "/busy". */
 struct SlowServer
 {
     SlowServer()
@@ -50,14 +49,14 @@
     std::function<void()> onRequest (const HttpRequest& received, const HttpServer::Respond& respond)
     {
         if (received.m_target != "/busy")
-            return answerLater (respond);
+            return answerAfterDelay (respond);
 
         std::this_thread::sleep_for (busyTime);
         respond ({});
         return {};
     }
 
-    std::function<void()> answerLater (const HttpServer::Respond& respond)
+    std::function<void()> answerAfterDelay (const HttpServer::Respond& respond)
     {
         m_timer.expires_after (milliseconds (200));
         m_timer.async_wait ([respond] (const boost::system::error_code& error) {
@@ -66,7 +65,7 @@
         });
         return [this] {
             m_timer.cancel();
-            ++m_gone;
+            ++m_disconnects;
         };
     }
 
@@ -74,7 +73,7 @@
     asio::steady_timer m_timer;
     HttpServer m_server;
     Endpoint m_endpoint;
-    std::atomic<int> m_gone { 0 };
+    std::atomic<int> m_disconnects { 0 };
 };
 
 struct Client
@@ -97,28 +96,28 @@
     tcp::socket m_socket { m_context };
 };
 
-/** Runs the server in a thread of its own for a time.
+/** Runs the server for a time, in a detached thread so that a server that blocks does not hang the test.
 
-    @returns whether it came back: it must never wait inside a call
+    @returns whether the thread has returned
 */
 bool runFor (const std::shared_ptr<SlowServer>& server, milliseconds time)
 {
-    const auto isBack = std::make_shared<std::atomic<bool>> (false);
-    std::thread ([server, time, isBack] {
+    const auto hasReturned = std::make_shared<std::atomic<bool>> (false);
+    std::thread ([server, time, hasReturned] {
         server->m_context.restart();
         server->m_context.run_for (time);
-        *isBack = true;
+        *hasReturned = true;
     }).detach();
 
-    for (int waited = 0; waited < 100 && ! *isBack; ++waited)
+    for (int waited = 0; waited < 100 && ! *hasReturned; ++waited)
         std::this_thread::sleep_for (time / 20);
 
-    return *isBack;
+    return *hasReturned;
 }
 
 } // namespace
 
-TEST_CASE ("bytes that were read before their event is told don't make the server wait inside a call")
+TEST_CASE ("a readiness event for bytes that were read already does not block the server")
 {
     const auto server = std::make_shared<SlowServer>();
     Client first (server->m_endpoint);
@@ -126,9 +125,9 @@
     Client split (server->m_endpoint);
     REQUIRE (runFor (server, milliseconds (50)));
 
-    // While the server is busy for the first, the second's request and half of the split one arrive together.
-    // While it is busy for the second, the other half arrives: it is read with the first half, and its event
-    // is told only then.
+    // While the server is busy with the first request, the second one and half of the split one arrive. The
+    // other half arrives while it is busy with the second: both halves are read together, and the readiness
+    // event of the other half is delivered afterwards.
     std::thread senders ([&] {
         first.write (busyRequest);
         std::this_thread::sleep_for (busyTime / 2);
@@ -137,14 +136,14 @@
         std::this_thread::sleep_for (busyTime);
         split.write (request.substr (10));
     });
-    const bool isBack = runFor (server, milliseconds (800));
+    const bool hasReturned = runFor (server, milliseconds (800));
     senders.join();
-    REQUIRE (isBack);
+    REQUIRE (hasReturned);
     CHECK (split.hasAnswer());
-    CHECK (server->m_gone == 0);
+    CHECK (server->m_disconnects == 0);
 }
 
-TEST_CASE ("a requester that closes while it waits is noticed")
+TEST_CASE ("a caller that disconnects while it waits is detected")
 {
     const auto server = std::make_shared<SlowServer>();
     auto client = std::make_unique<Client> (server->m_endpoint);
@@ -152,7 +151,7 @@
     REQUIRE (runFor (server, milliseconds (50)));
     client.reset();
     REQUIRE (runFor (server, milliseconds (100)));
-    CHECK (server->m_gone == 1);
+    CHECK (server->m_disconnects == 1);
 }
 
 } // namespace plankledge::test
--- a/tests/contracts/LogExplainer_test.cpp
+++ b/tests/contracts/LogExplainer_test.cpp
@@ -17,7 +17,7 @@
         milliseconds, event, instance, request, fields);
 }
 
-/** Logs of a failed request, and the cause that they show. */
+/** The log of a failed request, and the cause to be found in it. */
 struct Row
 {
     const char* m_name;
@@ -27,19 +27,19 @@
 };
 
 const Row rows[] = {
-    { "refused at the entry for a service deep below",
+    { "refused at the entry because of a downstream service",
       { line (1, "a", "request-refused", "r",
               R"(,"reason":"no-room","service":"deep","place":"0.9","level":"0.8")") },
       "request-refused no-room",
       "deep" },
-    { "a call's target broke the connection: the gate names the target",
+    { "the target of a nested call broke the connection: the gate names the target",
       { line (50, "a", "request-answered", "r", R"(,"status":"500")"),
         line (30, "b", "request-given-up", "r.1",
               R"(,"reason":"target-broken","service":"deep","tried":"c")"),
         line (20, "c", "gate-ended", "r.1", R"(,"reason":"target-broken","target":"t-7","ran_ms":"110")") },
       "gate-ended target-broken",
       "t-7" },
-    { "late: the deepest call that ran out of time",
+    { "deadline exceeded: the deepest call that exceeded it",
       { line (90, "a", "request-given-up", "r",
               R"(,"reason":"deadline-exceeded","service":"front","tried":"b")"),
         line (80, "b", "request-given-up", "r.1",
@@ -48,20 +48,20 @@
               R"(,"reason":"deadline-exceeded","service":"deep","tried":"d")") },
       "request-given-up deadline-exceeded",
       "deep" },
-    { "a failure that another sending made good is no cause",
+    { "a failure with a successful retry is not the cause",
       { line (10, "c", "gate-ended", "r.1", R"(,"reason":"target-shed","target":"t-7")"),
         line (20, "b", "request-answered", "r.1", R"(,"status":"200")"),
         line (30, "c", "gate-ended", "r.2", R"(,"reason":"target-shed","target":"t-8")"),
         line (40, "a", "request-answered", "r", R"(,"status":"500")") },
       "gate-ended target-shed",
       "t-8" },
-    { "refused by one gate and then broken at another: the last one decided",
+    { "overloaded at one gate, then broken at another: the last failure is the cause",
       { line (10, "b", "gate-ended", "r", R"(,"reason":"overloaded","dispatched":"no")"),
         line (20, "c", "gate-ended", "r", R"(,"reason":"target-broken","target":"t-7")"),
         line (30, "a", "request-given-up", "r", R"(,"reason":"target-broken","tried":"b,c")") },
       "gate-ended target-broken",
       "t-7" },
-    { "the target's own failure",
+    { "the target answered with an error status",
       { line (10, "a", "request-answered", "r", R"(,"status":"500","tried":"b")") },
       "request-answered status 500",
       "b" },
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE ("the cause of a failed request is where its failure began")
+TEST_CASE ("the cause of a failed request is the event where the failure originated")
 {
     for (const auto& row : rows)
     {
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE ("the life of a request is told in order of time, with its calls and without other requests")
+TEST_CASE ("the events of a request are listed by time, with those of its nested calls only")
 {
     LogExplainer explainer;
     explainer.add (line (30, "b", "gate-dispatched", "r.1", ""));
@@ -106,7 +106,7 @@
            "2026-12-02T10:00:00.040Z  a  r  request-answered status=200");
 }
 
-TEST_CASE ("lines that are no events are passed over")
+TEST_CASE ("lines that are not events are ignored")
 {
     LogExplainer explainer;
     for (const auto* text : { "", "plain text", "{", "{}", "[1]", R"({"event":3})", R"({"event":)" })
--- a/tests/contracts/Logger_test.cpp
+++ b/tests/contracts/Logger_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** A pipe; its reading end never waits. */
+/** A pipe with a non-blocking read end. */
 class Pipe
 {
 public:
@@ -31,7 +31,7 @@
         ::close (m_ends[1]);
     }
 
-    int writingEnd() const { return m_ends[1]; }
+    int writeEnd() const { return m_ends[1]; }
 
     std::string readAll() const
     {
@@ -52,10 +52,10 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a line is JSON and comes out whole")
+TEST_CASE ("a log line is one line of JSON")
 {
     Pipe pipe;
-    Logger logger ("node-1", Severity::info, pipe.writingEnd());
+    Logger logger ("node-1", Severity::info, pipe.writeEnd());
     logger.write (Severity::info, "request-refused", { { "reason", "a \"quoted\"\nline" } });
     logger.write (Severity::debug, "not-written");
     logger.flush();
@@ -66,20 +66,20 @@
     CHECK (std::count (text.begin(), text.end(), '\n') == 1);
 }
 
-TEST_CASE ("a pipe that nobody reads holds nothing up, and what is dropped is counted")
+TEST_CASE ("a full pipe does not block the writer, and dropped lines are counted")
 {
     Pipe pipe;
-    LineSink sink (pipe.writingEnd());
+    LineSink sink (pipe.writeEnd());
     const std::string line (1000, 'x');
 
-    // Far more than a pipe and the sink hold together.
+    // Exceeds the capacity of the pipe and the sink.
     for (int index = 0; index < 2000; ++index)
         sink.append (line);
 
     CHECK (sink.dropped() > 0);
     CHECK (sink.pending() <= LineSink::mostPendingBytes);
 
-    // Once it is read, whole lines come and none is cut.
+    // No line is truncated.
     std::string text;
 
     for (int index = 0; index < 100; ++index)
@@ -92,10 +92,10 @@
     CHECK (sink.pending() == 0);
 }
 
-TEST_CASE ("a flood of one event is bounded, and sampled requests have room of their own")
+TEST_CASE ("the rate of an event is limited, and lines of sampled requests are exempt from the limit")
 {
     Pipe pipe;
-    Logger logger ("node-1", Severity::info, pipe.writingEnd());
+    Logger logger ("node-1", Severity::info, pipe.writeEnd());
 
     for (unsigned index = 0; index < 3 * Logger::floodLimit; ++index)
         logger.write (Severity::info, "flood");
@@ -104,14 +104,13 @@
     logger.flush();
     const auto text = pipe.readAll();
 
-    // The clock may pass a second meanwhile, but hardly two.
+    // The loop may span two of the limit's intervals of one second.
     CHECK (std::count (text.begin(), text.end(), '\n') <= 2 * Logger::floodLimit + 1);
     CHECK (text.find ("\"sampled\"") != std::string::npos);
 }
 
-/*  Lines about keys that were closed and opened, and about the homes of limits, had an empty event: three
-   names were missing from the table, and nothing asked for them. */
-TEST_CASE ("each event has a name of its own")
+/*  Guards against decisions that lack a name, whose lines would have an empty event. */
+TEST_CASE ("each decision has a unique, non-empty event name")
 {
     std::set<std::string_view> names;
 
--- a/tests/contracts/Programs_test.cpp
+++ b/tests/contracts/Programs_test.cpp
@@ -1,5 +1,5 @@
-/*  Contract of the programs' settings, and of recorded decisions: a trace of a node replays to the same
- * effects. */
+/*  Contract of the programs' settings, and of recorded traces: replaying a node's trace yields the same
+    effects. */
 
 #include "plankledge_runtime/KeyedNode.h"
 #include "plankledge_runtime/TraceFile.h"
@@ -21,13 +21,14 @@
 namespace
 {
 
-struct Exit
+struct ProgramResult
 {
     int m_code = -1;
     std::string m_errors;
 };
 
-Exit runProgram (const std::string& name, std::vector<std::string> arguments, const std::string& errorFile)
+ProgramResult runProgram (const std::string& name, std::vector<std::string> arguments,
+                          const std::string& errorFile)
 {
     const char* folder = std::getenv ("PLANKLEDGE_PROGRAMS");
     auto path = fmt::format ("{}/{}", folder != nullptr ? folder : "build", name);
@@ -50,22 +51,22 @@
              std::string (std::istreambuf_iterator<char> (file), {}) };
 }
 
-Exit runNode (std::vector<std::string> arguments, const std::string& errorFile)
+ProgramResult runNode (std::vector<std::string> arguments, const std::string& errorFile)
 {
     return runProgram ("plankledge-node", std::move (arguments), errorFile);
 }
 
 struct Row
 {
-    std::vector<std::string> m_changes; /**< flags after the good ones */
+    std::vector<std::string> m_changes; /**< flags appended to validFlags */
     int m_code;
-    std::vector<std::string> m_said;
+    std::vector<std::string> m_expectedMessages;
 };
 
-const std::vector<std::string> good { "--check_settings",         "--instance=n1",
-                                      "--service=plans",          "--zone=a",
-                                      "--ip=127.0.0.1",           "--target=127.0.0.1:8000",
-                                      "--platform=127.0.0.1:7100" };
+const std::vector<std::string> validFlags { "--check_settings",         "--instance=n1",
+                                            "--service=plans",          "--zone=a",
+                                            "--ip=127.0.0.1",           "--target=127.0.0.1:8000",
+                                            "--platform=127.0.0.1:7100" };
 
 const Row rows[] = {
     { {}, 0, {} },
@@ -83,13 +84,13 @@
       { "--caller_port has no port", "--zone must be set", "--log_period_ms is out of range" } },
 };
 
-const std::vector<std::string> goodOfSidecar { "--check_settings",       "--instance=n1",
-                                               "--service=plans",        "--zone=a",
-                                               "--ip=127.0.0.1",         "--peers=127.0.0.1:7001",
-                                               "--outbound=127.0.0.1:1", "--ready=127.0.0.1:2",
-                                               "--control=127.0.0.1:3",  "--store=127.0.0.1:4" };
+const std::vector<std::string> validSidecarFlags { "--check_settings",       "--instance=n1",
+                                                   "--service=plans",        "--zone=a",
+                                                   "--ip=127.0.0.1",         "--peers=127.0.0.1:7001",
+                                                   "--outbound=127.0.0.1:1", "--ready=127.0.0.1:2",
+                                                   "--control=127.0.0.1:3",  "--store=127.0.0.1:4" };
 
-const Row rowsOfSidecar[] = {
+const Row sidecarRows[] = {
     { {}, 0, {} },
     { { "--retry_slack=20.408163265306122", "--limit_slack=7.5" }, 0, {} },
     { { "--retry_slack=-1" }, 2, { "--retry_slack is out of range" } },
@@ -104,49 +105,48 @@
 } // namespace
 
 //==============================================================================
-/*  The figures of an installation may be fractions. A smaller one's slack of 20.4 retries was taken for a
- * whole number's flag, and no node started. */
-TEST_CASE ("settings on the users' platform are checked at start, and figures may be fractions")
+/*  Guards against integer flags for fractional settings such as --retry_slack: such a node does not start. */
+TEST_CASE ("sidecar: settings are checked at start, and numbers may be fractional")
 {
     Cluster cluster;
     const auto errors = cluster.writeFile ("errors", "");
 
-    for (const auto& row : rowsOfSidecar)
+    for (const auto& row : sidecarRows)
     {
-        auto arguments = goodOfSidecar;
+        auto arguments = validSidecarFlags;
         arguments.insert (arguments.end(), row.m_changes.begin(), row.m_changes.end());
         CAPTURE (row.m_changes.empty() ? std::string() : row.m_changes.front());
-        const auto exit = runProgram ("plankledge-sidecar", arguments, errors);
-        CHECK (exit.m_code == row.m_code);
+        const auto result = runProgram ("plankledge-sidecar", arguments, errors);
+        CHECK (result.m_code == row.m_code);
 
-        for (const auto& said : row.m_said)
-            CHECK (exit.m_errors.find (said) != std::string::npos);
+        for (const auto& message : row.m_expectedMessages)
+            CHECK (result.m_errors.find (message) != std::string::npos);
     }
 }
 
-TEST_CASE ("settings are checked at start, all faults at once")
+TEST_CASE ("node: settings are checked at start, and all errors are reported at once")
 {
     Cluster cluster;
     const auto errors = cluster.writeFile ("errors", "");
 
     for (const auto& row : rows)
     {
-        auto arguments = good;
+        auto arguments = validFlags;
         arguments.insert (arguments.end(), row.m_changes.begin(), row.m_changes.end());
         CAPTURE (row.m_changes.empty() ? std::string() : row.m_changes.front());
-        const auto exit = runNode (arguments, errors);
-        CHECK (exit.m_code == row.m_code);
+        const auto result = runNode (arguments, errors);
+        CHECK (result.m_code == row.m_code);
 
-        for (const auto& said : row.m_said)
-            CHECK (exit.m_errors.find (said) != std::string::npos);
+        for (const auto& message : row.m_expectedMessages)
+            CHECK (result.m_errors.find (message) != std::string::npos);
     }
 }
 
-TEST_CASE ("settings come from the environment too, and flags go before it")
+TEST_CASE ("settings are read from the environment, and flags override it")
 {
     Cluster cluster;
     const auto errors = cluster.writeFile ("errors", "");
-    auto arguments = good;
+    auto arguments = validFlags;
     ::setenv ("FLAGS_policy", "nonsense", 1);
     CHECK (runNode (arguments, errors).m_code == 2);
     arguments.emplace_back ("--policy=baseline");
@@ -154,7 +154,7 @@
     ::unsetenv ("FLAGS_policy");
 }
 
-TEST_CASE ("a recorded trace replays to the same effects, and a changed one does not")
+TEST_CASE ("replaying a recorded trace yields the same effects, and a modified or truncated one is detected")
 {
     Cluster cluster;
     cluster.propose (landRegistry, 0, "first");
--- a/tests/contracts/Wire_test.cpp
+++ b/tests/contracts/Wire_test.cpp
@@ -1,5 +1,5 @@
-/*  Contract of frames and datagrams between nodes: what goes in comes out, and hostile bytes get a typed
- * error. */
+/*  Contract of frames and datagrams between nodes: decoding restores what was encoded, and hostile
+    bytes are rejected with a typed error. */
 
 #include "plankledge_wire/BoundedArchive.h"
 #include "plankledge_wire/FrameCodec.h"
@@ -31,19 +31,19 @@
     return encodeFrame (frame).substr (frameHeaderBytes);
 }
 
-template <class Number> std::string with (std::string bytes, std::size_t at, Number value)
+template <class Number> std::string overwrite (std::string bytes, std::size_t at, Number value)
 {
     std::memcpy (bytes.data() + at, &value, sizeof (value));
     return bytes;
 }
 
-/** The frame's message is a list that claims so many elements. */
+/** @returns a frame with a list whose length field claims this number of elements */
 std::string claimElements (std::uint32_t count)
 {
     const auto bytes = payloadOf ({ protocolVersion, { "n1", 42 }, "n2", InquiryAnswer {} });
 
-    // The members' count stands in front of the lost memories' count, at the end.
-    return with (bytes, bytes.size() - 8, count);
+    // The member count precedes the count of lost memories at the end of the frame.
+    return overwrite (bytes, bytes.size() - 8, count);
 }
 
 struct Row
@@ -66,19 +66,20 @@
     return {
         { "empty", "", WireError::truncated },
         { "one byte", "x", WireError::truncated },
-        { "another version", with<std::uint16_t> (good, 0, 99), WireError::wrongVersion },
+        { "wrong version", overwrite<std::uint16_t> (good, 0, 99), WireError::wrongVersion },
         { "half a frame", good.substr (0, good.size() / 2), WireError::malformed },
-        { "a byte too many", good + "x", WireError::trailingBytes },
-        { "for another instance", payloadOf ({ protocolVersion, { "n1", 42 }, "n9", sample().m_message }),
-          WireError::wrongReceiver },
-        { "a message of no known type", with<std::int32_t> (good, 24, 500), WireError::malformed },
-        { "a list that claims 2^32-1 elements", claimElements (0xffffffffU), WireError::malformed },
-        { "a list that claims a million elements", claimElements (1000000), WireError::malformed },
-        { "a string that claims 4 GB", with<std::uint32_t> (good, 2, 0xffffffffU), WireError::malformed },
-        { "a rank beyond all", payloadOf (wrongRank), WireError::malformed },
-        { "a reason that is none", payloadOf ({ protocolVersion, { "n1", 42 }, "n2", answer }),
+        { "trailing byte", good + "x", WireError::trailingBytes },
+        { "addressed to another instance",
+          payloadOf ({ protocolVersion, { "n1", 42 }, "n9", sample().m_message }), WireError::wrongReceiver },
+        { "unknown message type", overwrite<std::int32_t> (good, 24, 500), WireError::malformed },
+        { "list with a claimed length of 2^32-1", claimElements (0xffffffffU), WireError::malformed },
+        { "list with a claimed length of a million", claimElements (1000000), WireError::malformed },
+        { "string with a claimed length of 4 GB", overwrite<std::uint32_t> (good, 2, 0xffffffffU),
           WireError::malformed },
-        { "a member state that is none", payloadOf ({ protocolVersion, { "n1", 42 }, "n2", heartbeat }),
+        { "rank out of range", payloadOf (wrongRank), WireError::malformed },
+        { "unknown reason", payloadOf ({ protocolVersion, { "n1", 42 }, "n2", answer }),
+          WireError::malformed },
+        { "unknown member state", payloadOf ({ protocolVersion, { "n1", 42 }, "n2", heartbeat }),
           WireError::malformed },
     };
 }
@@ -86,14 +87,14 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a frame comes out as it went in")
+TEST_CASE ("encoding and decoding a frame yields the same frame")
 {
     const auto frame = decodeFrame (payloadOf (sample()), "n2");
     REQUIRE (frame.ok());
     CHECK (*frame == sample());
 }
 
-TEST_CASE ("hostile frames get a typed error")
+TEST_CASE ("hostile frames are rejected with a typed error")
 {
     for (const auto& row : hostileFrames())
     {
@@ -107,7 +108,7 @@
     CHECK_FALSE (decodeFrameLength ("abc").ok());
 }
 
-TEST_CASE ("random and mutated bytes never do more than fail")
+TEST_CASE ("decoding mutated or truncated bytes does not crash")
 {
     std::mt19937_64 random (5);
     const auto good = payloadOf (sample());
@@ -125,7 +126,7 @@
     }
 }
 
-TEST_CASE ("a rumour fits a datagram, and hostile datagrams get a typed error")
+TEST_CASE ("a rumour fits a datagram, and hostile datagrams are rejected with a typed error")
 {
     Rumour rumour;
     rumour.m_sender = { { "n1", 42 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
@@ -143,7 +144,7 @@
 
     CHECK (wireErrorOf (decodeRumour (std::string (2000, 'x')).status()) == WireError::tooLarge);
     CHECK (wireErrorOf (decodeRumour ("").status()) == WireError::truncated);
-    CHECK (wireErrorOf (decodeRumour (with<std::uint16_t> (bytes, 0, 9)).status()) ==
+    CHECK (wireErrorOf (decodeRumour (overwrite<std::uint16_t> (bytes, 0, 9)).status()) ==
            WireError::wrongVersion);
     CHECK (wireErrorOf (decodeRumour (bytes.substr (0, 20)).status()) == WireError::malformed);
     CHECK (wireErrorOf (decodeRumour (bytes + "x").status()) == WireError::trailingBytes);
--- a/tests/support/ChainSite.cpp
+++ b/tests/support/ChainSite.cpp
@@ -12,7 +12,7 @@
 constexpr Duration lodgeTimeout = Milliseconds (800);
 constexpr Duration callTimeout = Milliseconds (700);
 constexpr Duration correctionTime = Milliseconds (100);
-constexpr Duration ownTime = Milliseconds (1); /**< that "front" adds to its calls */
+constexpr Duration frontOverhead = Milliseconds (1); /**< service time of "front" after its nested calls */
 constexpr std::uint16_t failed = 500;
 
 Route routeOf (const RouteName& name, const ServiceName& service, std::uint32_t priority, Duration timeout,
@@ -36,7 +36,7 @@
 ChainSite::ChainSite (double lodges, double searches, double corrections, const Times& times)
     : m_times (times)
     , m_kinds { { "lodge", lodges, 2, 4 }, { "search", searches, 1, 4 }, { "correct", corrections, 0, 0 } }
-    , m_due (m_kinds.size(), 0.0)
+    , m_requestsDue (m_kinds.size(), 0.0)
 {
     using std::chrono::seconds;
     add ("entry", "web");
@@ -48,8 +48,9 @@
                              routeOf ("call", "deep", 2, callTimeout, Milliseconds (300)) }));
     run (Milliseconds (100));
 
-    setTarget ("front",
-               [this] (RelayRig&, const InstanceName&, const RelayToTarget& dispatch) { begin (dispatch); });
+    setTarget ("front", [this] (RelayRig&, const InstanceName&, const RelayToTarget& dispatch) {
+        startChain (dispatch);
+    });
     setTarget ("deep", [callTime = times.m_call] (RelayRig& rig, const InstanceName& instance,
                                                   const RelayToTarget& dispatch) {
         const bool isCall = dispatch.m_content.m_path.starts_with ("/call/");
@@ -63,22 +64,22 @@
     {
         sendNext();
         run (step);
-        std::erase_if (m_chains, [this] (Chain& chain) { return ! goOn (chain); });
+        std::erase_if (m_chains, [this] (Chain& chain) { return ! advanceChain (chain); });
     }
 
     while (! m_chains.empty())
     {
         run (step);
-        std::erase_if (m_chains, [this] (Chain& chain) { return ! goOn (chain); });
+        std::erase_if (m_chains, [this] (Chain& chain) { return ! advanceChain (chain); });
     }
 
     run (std::chrono::seconds (1));
-    count();
+    countResults();
 }
 
 void ChainSite::resetCounts()
 {
-    ++m_count;
+    ++m_measurement;
 
     for (auto& kind : m_kinds)
         kind.m_sent = kind.m_served = kind.m_failed = 0;
@@ -89,22 +90,22 @@
     for (std::size_t index = 0; index < m_kinds.size(); ++index)
     {
         auto& kind = m_kinds[index];
-        m_due[index] += kind.m_perSecond * std::chrono::duration<double> (step).count();
+        m_requestsDue[index] += kind.m_perSecond * std::chrono::duration<double> (step).count();
 
-        for (; m_due[index] >= 1.0; m_due[index] -= 1.0)
+        for (; m_requestsDue[index] >= 1.0; m_requestsDue[index] -= 1.0)
         {
             const auto ticket = send ("entry", "r" + std::to_string (++m_nextId), "/" + kind.m_route + "/x");
-            m_sent.push_back ({ ticket, &kind, m_count });
+            m_sent.push_back ({ ticket, &kind, m_measurement });
             ++kind.m_sent;
         }
     }
 }
 
-void ChainSite::count()
+void ChainSite::countResults()
 {
     for (const auto& sent : m_sent)
     {
-        if (sent.m_count != m_count)
+        if (sent.m_measurement != m_measurement)
             continue;
 
         const auto& result = answers().at (sent.m_ticket).m_result;
@@ -114,8 +115,7 @@
 }
 
 //==============================================================================
-/** A request began to run at "front". */
-void ChainSite::begin (const RelayToTarget& dispatch)
+void ChainSite::startChain (const RelayToTarget& dispatch)
 {
     const auto isOfRoute = [&] (const RequestKind& kind) {
         return dispatch.m_content.m_path.starts_with ("/" + kind.m_route + "/");
@@ -131,13 +131,13 @@
     branch.m_call = send ("front", id, "/call/x", chain.m_deadline - now());
 }
 
-/** @returns whether the request still runs */
-bool ChainSite::goOn (Chain& chain)
+/** @returns whether the request is still running */
+bool ChainSite::advanceChain (Chain& chain)
 {
-    if (now() < chain.m_callsAt)
+    if (now() < chain.m_firstCallAt)
         return true;
 
-    std::size_t whole = 0;
+    std::size_t completedBranches = 0;
 
     for (auto& branch : chain.m_branches)
     {
@@ -146,25 +146,25 @@
 
         const auto answer = answers().find (branch.m_call);
 
-        if (branch.m_done < chain.m_kind->m_callsOfBranch && answer != answers().end())
+        if (branch.m_completedCalls < chain.m_kind->m_callsPerBranch && answer != answers().end())
         {
             if (! isSuccess (answer->second.m_result))
             {
-                reply ("front", chain.m_dispatch.m_call, TargetReplyKind::answered, ownTime, failed);
+                reply ("front", chain.m_dispatch.m_call, TargetReplyKind::answered, frontOverhead, failed);
                 return false;
             }
 
-            if (++branch.m_done < chain.m_kind->m_callsOfBranch)
+            if (++branch.m_completedCalls < chain.m_kind->m_callsPerBranch)
                 call (chain, branch);
         }
 
-        whole += branch.m_done == chain.m_kind->m_callsOfBranch ? 1 : 0;
+        completedBranches += branch.m_completedCalls == chain.m_kind->m_callsPerBranch ? 1 : 0;
     }
 
-    if (whole == chain.m_branches.size())
-        reply ("front", chain.m_dispatch.m_call, TargetReplyKind::answered, ownTime);
+    if (completedBranches == chain.m_branches.size())
+        reply ("front", chain.m_dispatch.m_call, TargetReplyKind::answered, frontOverhead);
 
-    return whole < chain.m_branches.size() && now() < chain.m_deadline;
+    return completedBranches < chain.m_branches.size() && now() < chain.m_deadline;
 }
 
 } // namespace plankledge::test
--- a/tests/support/ChainSite.h
+++ b/tests/support/ChainSite.h
@@ -9,46 +9,49 @@
 namespace plankledge::test
 {
 
-/** A kind of request that comes to the entry of a ChainSite. */
+/** A kind of request that is sent to the entry node of a ChainSite, and its counters. */
 struct RequestKind
 {
     RouteName m_route;
     double m_perSecond = 0.0;
-    std::size_t m_branches = 0; /**< series of calls that each makes at the same time; 0: it makes none */
-    std::size_t m_callsOfBranch = 0; /**< one after the other */
-    std::size_t m_sent = 0;          /**< since the last reset */
-    std::size_t m_served = 0;        /**< answered with success, of those */
-    std::size_t m_failed = 0;        /**< neither served nor refused, of those */
+    std::size_t m_branches = 0;       /**< concurrent series of nested calls */
+    std::size_t m_callsPerBranch = 0; /**< made sequentially */
+    std::size_t m_sent = 0;           /**< since resetCounts() */
+    std::size_t m_served = 0;         /**< of those, completed with a status below 500 */
+    std::size_t m_failed = 0;         /**< of those, neither served nor refused */
     double share() const { return static_cast<double> (m_served) / static_cast<double> (m_sent); }
 };
 
 //==============================================================================
 /**
-    One node with a small target of "deep", one with a large target of "front" whose requests call "deep", and
-   an entry at which requests of several kinds come in evenly.
+    A site with an entry node, a target of "front" and a target of "deep" with few slots. Requests of three
+    kinds arrive at the entry at constant rates.
 
-    "lodge" is most urgent and makes two branches of four calls, "search" makes one, and "correct" goes
-   straight to "deep" and needs 0.1 s of a slot there. "front" works for a time before it makes the first
-   calls; of a lodge's 0.8 s the rest is left for these.
+    "lodge" has the highest priority and makes two concurrent series of four calls to "deep"; "search" makes
+    one. "correct" is routed to "deep" and occupies a slot there for 0.1 s. "front" works before it makes
+    the first calls; a lodge times out after 0.8 s.
 */
 class ChainSite : public RelayRig
 {
 public:
     //==============================================================================
-    /** How long work takes at the targets. */
+    /** Service times of the targets. */
     struct Times
     {
-        Duration m_front = Milliseconds (120); /**< before the first calls */
-        Duration m_call = Milliseconds (30);   /**< that a call holds one of the 20 slots of "deep" */
+        Duration m_front = Milliseconds (120); /**< before the first nested calls */
+        Duration m_call = Milliseconds (30);   /**< of a nested call at "deep" */
     };
 
-    /** The kinds are given by how many come in a second. */
+    /** @param lodges        requests per second
+        @param searches      requests per second
+        @param corrections   requests per second
+        @param times         service times of the targets */
     ChainSite (double lodges, double searches, double corrections, const Times& times);
 
-    /** Lets requests come in for a time, and then those that run end. */
+    /** Sends requests for a time, then waits until all have ended. */
     void load (Duration duration);
 
-    /** Counts anew what is sent from now on. */
+    /** Resets the counters; requests that were sent before are not counted any more. */
     void resetCounts();
 
     const RequestKind& lodges() const { return m_kinds[0]; }
@@ -60,14 +63,14 @@
     struct Branch
     {
         Ticket m_call = 0;
-        std::size_t m_done = 0;
+        std::size_t m_completedCalls = 0;
     };
 
     struct Chain
     {
         const RequestKind* m_kind = nullptr;
         RelayToTarget m_dispatch;
-        Time m_callsAt;
+        Time m_firstCallAt;
         Time m_deadline;
         std::vector<Branch> m_branches;
     };
@@ -76,21 +79,21 @@
     {
         Ticket m_ticket = 0;
         RequestKind* m_kind = nullptr;
-        unsigned m_count = 0; /**< the count it belongs to */
+        unsigned m_measurement = 0; /**< number of the measurement that counts it */
     };
 
-    void begin (const RelayToTarget& dispatch);
+    void startChain (const RelayToTarget& dispatch);
     void sendNext();
     void call (const Chain& chain, Branch& branch);
-    bool goOn (Chain& chain);
-    void count();
+    bool advanceChain (Chain& chain);
+    void countResults();
 
     const Times m_times;
     std::vector<RequestKind> m_kinds;
-    std::vector<double> m_due;
+    std::vector<double> m_requestsDue;
     std::vector<Chain> m_chains;
     std::vector<Sent> m_sent;
-    unsigned m_count = 0;
+    unsigned m_measurement = 0;
     unsigned m_nextId = 0;
 };
 
--- a/tests/support/Cluster.cpp
+++ b/tests/support/Cluster.cpp
@@ -26,9 +26,9 @@
 namespace
 {
 
-constexpr Duration requestLimit = std::chrono::seconds (20);
-constexpr std::chrono::milliseconds pollPause { 20 };
-constexpr std::chrono::seconds waitLimit { 60 };
+constexpr Duration httpTimeout = std::chrono::seconds (20);
+constexpr std::chrono::milliseconds pollInterval { 20 };
+constexpr std::chrono::seconds waitTimeout { 60 };
 
 std::string programPath (const std::string& program)
 {
@@ -36,7 +36,7 @@
     return fmt::format ("{}/{}", folder != nullptr ? folder : "build", program);
 }
 
-std::atomic<int> clusters { 0 };
+std::atomic<int> clusterCount { 0 };
 
 } // namespace
 
@@ -52,14 +52,14 @@
 
 bool waitFor (const std::function<bool()>& condition)
 {
-    const auto until = BootClock::now() + Duration (waitLimit);
+    const auto until = BootClock::now() + Duration (waitTimeout);
 
     while (BootClock::now() < until)
     {
         if (condition())
             return true;
 
-        std::this_thread::sleep_for (pollPause);
+        std::this_thread::sleep_for (pollInterval);
     }
 
     return condition();
@@ -96,14 +96,15 @@
 //==============================================================================
 Cluster::Cluster()
 {
-    const auto number = clusters++;
+    const auto number = clusterCount++;
     const auto process = static_cast<int> (::getpid());
-    m_net = fmt::format ("127.{}.{}", 30 + process % 200, (process / 200 + number * 7) % 250);
+    m_subnet = fmt::format ("127.{}.{}", 30 + process % 200, (process / 200 + number * 7) % 250);
     m_folder = fmt::format ("{}/plankledge-test-{}-{}", std::filesystem::temp_directory_path().string(),
                             process, number);
     std::filesystem::create_directories (m_folder);
-    m_platform = spawn ("standin-platform",
-                        { "--listen", fmt::format ("{}.1:7100", m_net), "--expiry_ms", "4000" }, "platform");
+    m_platform =
+        spawn ("standin-platform", { "--listen", fmt::format ("{}.1:7100", m_subnet), "--expiry_ms", "4000" },
+               "platform");
     waitFor ([this] { return HttpClient::sendAndWait (platform(), {}, Milliseconds (500)).ok(); });
 }
 
@@ -157,7 +158,7 @@
     auto& pair = m_pairs[instance];
     pair.m_service = service;
     pair.m_options = options;
-    pair.m_ip = fmt::format ("{}.{}", m_net, m_pairs.size() + 1);
+    pair.m_ip = fmt::format ("{}.{}", m_subnet, m_pairs.size() + 1);
     startTarget (instance);
     startNode (instance);
 }
@@ -176,7 +177,7 @@
                                      "--calls",      options.m_calls };
 
     if (options.m_isListed)
-        flags.insert (flags.end(), { "--platform", fmt::format ("{}.1:7100", m_net) });
+        flags.insert (flags.end(), { "--platform", fmt::format ("{}.1:7100", m_subnet) });
 
     pair.m_target = spawn ("standin-target", flags, "target-" + instance);
 }
@@ -191,7 +192,7 @@
                                      "--ip",       pair.m_ip,
                                      "--admin_ip", pair.m_ip,
                                      "--target",   pair.m_ip + ":8000",
-                                     "--platform", fmt::format ("{}.1:7100", m_net) };
+                                     "--platform", fmt::format ("{}.1:7100", m_subnet) };
     flags.insert (flags.end(), pair.m_options.m_nodeFlags.begin(), pair.m_options.m_nodeFlags.end());
     pair.m_node = spawn ("plankledge-node", flags, "node-" + instance);
 }
@@ -237,7 +238,7 @@
     request.m_method = "POST";
     request.m_target = fmt::format ("/streams/{}", configurationStream);
     request.m_body = encodeConfigurationRecord (record);
-    (void)HttpClient::sendAndWait (platform(), request, requestLimit);
+    (void)HttpClient::sendAndWait (platform(), request, httpTimeout);
 }
 
 void Cluster::controlPlatform (const std::string& text)
@@ -246,7 +247,7 @@
     request.m_method = "POST";
     request.m_target = "/control";
     request.m_body = text;
-    (void)HttpClient::sendAndWait (platform(), request, requestLimit);
+    (void)HttpClient::sendAndWait (platform(), request, httpTimeout);
 }
 
 void Cluster::controlTarget (const InstanceName& instance, const std::string& text)
@@ -255,7 +256,7 @@
     request.m_method = "POST";
     request.m_target = "/control";
     request.m_body = text;
-    (void)HttpClient::sendAndWait (endpoint (instance, 8000), request, requestLimit);
+    (void)HttpClient::sendAndWait (endpoint (instance, 8000), request, httpTimeout);
 }
 
 bool Cluster::isReady (const InstanceName& instance)
@@ -284,7 +285,7 @@
     request.m_headers = headers;
     request.m_contentType = "text/plain";
     request.m_body = body;
-    return HttpClient::sendAndWait (endpoint (entry, 7000), request, requestLimit);
+    return HttpClient::sendAndWait (endpoint (entry, 7000), request, httpTimeout);
 }
 
 std::future<absl::StatusOr<HttpResponse>> Cluster::callLater (const InstanceName& entry,
@@ -337,7 +338,7 @@
 {
     HttpRequest request;
     request.m_target = "/metrics";
-    const auto answer = HttpClient::sendAndWait (endpoint (instance, 7003), request, requestLimit);
+    const auto answer = HttpClient::sendAndWait (endpoint (instance, 7003), request, httpTimeout);
 
     if (! answer.ok())
         return {};
@@ -385,7 +386,7 @@
 
 Endpoint Cluster::platform() const
 {
-    return { m_net + ".1", 7100 };
+    return { m_subnet + ".1", 7100 };
 }
 
 Endpoint Cluster::endpoint (const InstanceName& instance, std::uint16_t port) const
--- a/tests/support/Cluster.h
+++ b/tests/support/Cluster.h
@@ -11,7 +11,7 @@
 namespace plankledge::test
 {
 
-/** How a target and its node are started. */
+/** Settings of a target stand-in and its node. */
 struct PairOptions
 {
     ZoneName m_zone = "a";
@@ -19,13 +19,13 @@
     double m_serviceMs = 5;
     std::string m_calls;
     std::vector<std::string> m_nodeFlags;
-    bool m_isListed = true; /**< the target lists itself at the platform */
+    bool m_isListed = true; /**< whether the target registers in the platform's list */
 };
 
 //==============================================================================
 /**
-    The real programs on loopback addresses of this test's own: one platform stand-in, and
-    pairs of a target stand-in and its node. Ends all it started.
+    Runs the real programs on a loopback subnet of its own: one platform stand-in, and pairs of
+    a target stand-in and its node. The destructor kills all processes.
 */
 class Cluster
 {
@@ -44,14 +44,17 @@
     void signalTarget (const InstanceName& instance, int signal);
     bool isNodeRunning (const InstanceName& instance);
 
-    /** Appends declarations to the log as a proposal on a base. */
+    /** Appends a proposal of declarations to the configuration log.
+
+        @param base   the version that the proposal replaces
+    */
     void propose (const std::string& text, std::uint64_t base, const std::string& id);
 
-    /** Changes the faults of a stand-in. */
+    /** Sets the faults that a stand-in injects. */
     void controlPlatform (const std::string& json);
     void controlTarget (const InstanceName& instance, const std::string& json);
 
-    /** Waits until all nodes, or one, say they are ready. */
+    /** Waits until all nodes report that they are ready. */
     void waitReady();
     bool isReady (const InstanceName& instance);
 
@@ -63,12 +66,11 @@
                                                          const HttpHeaders& headers = {},
                                                          const std::string& body = "body");
 
-    /** @returns the runs that a target counts, by key or path; the last seen where it does not answer any
-     * more */
+    /** @returns the runs that a target counted, by key or path; the last known ones if it does not answer */
     std::map<std::string, int> runs (const InstanceName& instance);
     int totalRuns (const InstanceName& instance);
 
-    /** @returns the runs of a key at all targets of all services, its calls' keys included */
+    /** @returns the runs of a key and of its nested calls' keys at all targets */
     int runsOf (const std::string& key);
 
     std::string metric (const InstanceName& instance, const std::string& name);
@@ -85,7 +87,10 @@
     Endpoint platform() const;
     Endpoint endpoint (const InstanceName& instance, std::uint16_t port) const;
 
-    /** Writes a file that lives as long as the cluster. */
+    /** Writes a file that the destructor removes.
+
+        @returns its path
+    */
     std::string writeFile (const std::string& name, const std::string& text);
 
 private:
@@ -105,30 +110,29 @@
                  const std::string& log);
     void end (pid_t& pid);
 
-    std::string m_net;
+    std::string m_subnet;
     std::string m_folder;
     std::map<InstanceName, Pair> m_pairs;
     pid_t m_platform = 0;
 };
 
-/** Waits for a condition, up to a limit that is only met by failures.
+/** Polls a condition until it holds or a timeout of 60 s expires.
 
-    @returns whether it came true
+    @returns whether the condition holds
 */
 bool waitFor (const std::function<bool()>& condition);
 
-/** @returns the owner of a lodgement's key among instances, by rendezvous order; with rank 1 the second
- * candidate */
+/** @returns the candidate for a lodgement's key at a rank of the rendezvous order; rank 0 is the owner */
 InstanceName candidateOf (const std::string& key, const std::vector<InstanceName>& instances,
                           std::size_t rank = 0);
 
-/** Headers of a sending of a key. */
+/** @returns the headers of an attempt with a key */
 HttpHeaders sending (const std::string& key, int attempt, int ageMs);
 
 std::string outcomeOf (const absl::StatusOr<HttpResponse>& response);
 std::string reasonOf (const absl::StatusOr<HttpResponse>& response);
 
-/** Declarations for search, plans, corrections and lodgement. */
+/** Declarations of the services search, plans, corrections and lodgement. */
 extern const char* const landRegistry;
 
 } // namespace plankledge::test
--- a/tests/support/CrashSite.cpp
+++ b/tests/support/CrashSite.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr Duration step = Milliseconds (10);
-constexpr unsigned stepsOfTenth = 10;
-constexpr unsigned stepsOfSecond = 100;
-constexpr Duration contactTime = std::chrono::seconds (1);
+constexpr unsigned stepsPerTenth = 10;
+constexpr unsigned stepsPerSecond = 100;
+constexpr Duration startupTime = std::chrono::seconds (1);
 constexpr std::array<const char*, 3> zones { "zone-a", "zone-b", "zone-c" };
 
 } // namespace
@@ -38,7 +38,7 @@
     }
 
     publish (makeTable (1, { makeRoute ("read", "plans"), makeRoute ("write", "plans", false) }));
-    run (contactTime);
+    run (startupTime);
 }
 
 void CrashSite::onDispatch (const InstanceName& instance, const RelayToTarget& dispatch)
@@ -48,15 +48,15 @@
     if (! target.m_isUp)
         return reply (instance, dispatch.m_call, TargetReplyKind::notSent, latency);
 
-    if (m_lostOneOf > 0 && m_random.below (m_lostOneOf) == 0)
+    if (m_lossOneIn > 0 && m_random.below (m_lossOneIn) == 0)
         return reply (instance, dispatch.m_call, TargetReplyKind::broken, work);
 
     target.m_running.insert (dispatch.m_call);
 
-    if (m_isDeadly && dispatch.m_content.m_path.starts_with (deadly))
-        m_crashesDue.emplace (now() + workToCrash, instance);
+    if (m_isCrashingEnabled && dispatch.m_content.m_path.starts_with (deadly))
+        m_crashesDue.emplace (now() + timeToCrash, instance);
     else
-        m_ends.emplace (now() + work, std::pair { instance, dispatch.m_call });
+        m_completionsDue.emplace (now() + work, std::pair { instance, dispatch.m_call });
 }
 
 void CrashSite::crash (const InstanceName& instance)
@@ -69,8 +69,8 @@
     m_crashes.push_back (now());
     target.m_isUp = false;
     target.m_isAnnounced = false;
-    target.m_backAt = now() + downTime;
-    silence (instance);
+    target.m_restartsAt = now() + downTime;
+    stopAnnouncing (instance);
 
     for (const auto call : target.m_running)
         reply (instance, call, TargetReplyKind::broken, latency);
@@ -81,7 +81,7 @@
 void CrashSite::restart (const InstanceName& instance)
 {
     start (instance);
-    tellAll (instance);
+    sendMembersAndRoutes (instance);
     announce (instance);
 }
 
@@ -90,17 +90,17 @@
     const auto ticket =
         send (m_nodes[m_random.below (m_nodes.size())], "request-" + std::to_string (++m_sent), path);
 
-    if (m_repeats)
-        m_repeatable.emplace (ticket, path);
+    if (m_areCallersRetrying)
+        m_firstAttempts.emplace (ticket, path);
 
     return ticket;
 }
 
-void CrashSite::repeatFailed()
+void CrashSite::retryFailed()
 {
-    std::vector<std::string> again;
+    std::vector<std::string> failedPaths;
 
-    for (auto entry = m_repeatable.begin(); entry != m_repeatable.end();)
+    for (auto entry = m_firstAttempts.begin(); entry != m_firstAttempts.end();)
     {
         const auto answer = answers().find (entry->first);
 
@@ -111,17 +111,17 @@
         }
 
         if (answer->second.m_result.m_outcome != Outcome::completed)
-            again.push_back (entry->second);
+            failedPaths.push_back (entry->second);
 
-        entry = m_repeatable.erase (entry);
+        entry = m_firstAttempts.erase (entry);
     }
 
-    for (const auto& path : again)
+    for (const auto& path : failedPaths)
         send (m_nodes[m_random.below (m_nodes.size())], "request-" + std::to_string (++m_sent), path);
 }
 
 //==============================================================================
-/** Ends what is due: a target that has crashed ends nothing any more. */
+/** Handles crashes, completions, restarts and retries that are due, then advances time by one step. */
 void CrashSite::step()
 {
     while (! m_crashesDue.empty() && m_crashesDue.begin()->first <= now())
@@ -131,10 +131,10 @@
         crash (instance);
     }
 
-    while (! m_ends.empty() && m_ends.begin()->first <= now())
+    while (! m_completionsDue.empty() && m_completionsDue.begin()->first <= now())
     {
-        const auto [instance, call] = m_ends.begin()->second;
-        m_ends.erase (m_ends.begin());
+        const auto [instance, call] = m_completionsDue.begin()->second;
+        m_completionsDue.erase (m_completionsDue.begin());
 
         if (m_state.at (instance).m_running.erase (call) > 0)
             reply (instance, call, TargetReplyKind::answered, Duration::zero());
@@ -142,9 +142,9 @@
 
     for (auto& [instance, target] : m_state)
     {
-        target.m_isUp = target.m_isUp || now() >= target.m_backAt;
+        target.m_isUp = target.m_isUp || now() >= target.m_restartsAt;
 
-        if (target.m_isAnnounced || now() < target.m_backAt + m_announcedLate)
+        if (target.m_isAnnounced || now() < target.m_restartsAt + m_announcementDelay)
             continue;
 
         target.m_isAnnounced = true;
@@ -152,12 +152,12 @@
         announce (instance);
     }
 
-    repeatFailed();
+    retryFailed();
     run (plankledge::test::step);
 }
 
 std::vector<Ticket> CrashSite::runUnderLoad (Duration duration, unsigned perSecond,
-                                             const std::function<void()>& eachTenth)
+                                             const std::function<void()>& onEachTenth)
 {
     std::vector<Ticket> sent;
     const auto end = now() + duration;
@@ -165,11 +165,11 @@
 
     for (unsigned steps = 0; now() < end; ++steps)
     {
-        for (credit += perSecond; credit >= stepsOfSecond; credit -= stepsOfSecond)
+        for (credit += perSecond; credit >= stepsPerSecond; credit -= stepsPerSecond)
             sent.push_back (sendAnywhere ("/read/usual-" + std::to_string (m_sent)));
 
-        if (eachTenth && steps % stepsOfTenth == 0)
-            eachTenth();
+        if (onEachTenth && steps % stepsPerTenth == 0)
+            onEachTenth();
 
         step();
     }
--- a/tests/support/CrashSite.h
+++ b/tests/support/CrashSite.h
@@ -10,59 +10,61 @@
 
 //==============================================================================
 /**
-    A site of one service whose targets can crash: what runs there breaks off, connections are
-    refused for some seconds, and another target takes the place.
+    A site of one service whose targets can crash: running requests are aborted, connections
+    are refused for downTime, and then another target replaces the crashed one.
 */
 class CrashSite : public RelayRig
 {
 public:
     //==============================================================================
-    /** A request under this path crashes each target that runs it. */
+    /** Requests with this path prefix crash each target that runs them. */
     static constexpr std::string_view deadly = "/read/deadly";
 
-    static constexpr Duration work = Milliseconds (90);        /**< of a usual request */
-    static constexpr Duration workToCrash = Milliseconds (80); /**< that a deadly one does before */
+    static constexpr Duration work = Milliseconds (90);        /**< service time of other requests */
+    static constexpr Duration timeToCrash = Milliseconds (80); /**< from a dispatch to the crash */
     static constexpr Duration downTime = std::chrono::seconds (3);
 
-    /** @param targets   nodes with a target of the service, over three zones
-        @param entries   nodes with a target of another service, where requests come in as well */
+    /** @param targets   number of nodes with a target of the service, spread over three zones
+        @param entries   number of nodes with a target of another service, which receive requests too
+        @param slots     concurrency of each target */
     CrashSite (unsigned targets, unsigned entries, std::uint32_t slots = 84);
 
-    /** The node's target ends now. */
+    /** Crashes the node's target, unless it is down. */
     void crash (const InstanceName& instance);
 
-    /** From now on targets break off one of so many requests, and live. */
-    void loseAnswers (unsigned oneOf) { m_lostOneOf = oneOf; }
+    /** Makes targets break the connection of a random one in oneOf requests, without crashing. */
+    void loseAnswers (unsigned oneOf) { m_lossOneIn = oneOf; }
 
-    /** From now on targets that start announce themselves so much later. */
-    void announceLate (Duration late) { m_announcedLate = late; }
+    /** Delays the first announcement of targets that start. */
+    void announceLate (Duration delay) { m_announcementDelay = delay; }
 
-    /** From now on deadly requests are as others. */
-    void mend() { m_isDeadly = false; }
+    /** Makes requests with the crashing path run like others. */
+    void mend() { m_isCrashingEnabled = false; }
 
-    /** From now on senders ask once more, at any node, where no target's answer came. */
-    void repeatOnce() { m_repeats = true; }
+    /** Makes callers retry each failed request once, at a random node. */
+    void repeatOnce() { m_areCallersRetrying = true; }
 
-    /** Starts a node's process again; it knows nothing. */
+    /** Restarts a node's process, then sends it the member list, the routes and its target's announcement. */
     void restart (const InstanceName& instance);
 
-    /** Sends a request of the given path to any node. */
+    /** Sends a request with the given path to a random node. */
     Ticket sendAnywhere (const std::string& path);
 
-    /** Sends requests that differ from each other, so many a second, while the time passes.
+    /** Sends requests with distinct paths to random nodes at a constant rate.
 
-        @returns their tickets
+        @param onEachTenth   called each 0.1 s
+        @returns             the requests' tickets
     */
     std::vector<Ticket> runUnderLoad (Duration duration, unsigned perSecond,
-                                      const std::function<void()>& eachTenth = {});
+                                      const std::function<void()>& onEachTenth = {});
 
-    /** @returns the part of these requests that ended with the target's answer */
+    /** @returns the fraction of these requests that completed */
     double servedShare (const std::vector<Ticket>& tickets) const;
 
-    /** @returns when the request of this path was begun by a target, each time */
+    /** @returns the times of all dispatches with this path */
     std::vector<Time> runsOfPath (std::string_view path) const;
 
-    /** @returns how many ended with this reason, of all answers */
+    /** @returns the number of answers with this reason */
     std::size_t answeredWith (Reason reason) const;
 
     const std::vector<InstanceName>& targets() const noexcept { return m_targets; }
@@ -76,27 +78,27 @@
     {
         bool m_isUp = true;
         std::set<CallId> m_running;
-        Time m_backAt;
+        Time m_restartsAt;
         bool m_isAnnounced = true;
     };
 
-    void repeatFailed();
+    void retryFailed();
     void onDispatch (const InstanceName& instance, const RelayToTarget& dispatch);
     void step();
 
     std::vector<InstanceName> m_targets;
     std::vector<InstanceName> m_nodes;
     std::map<InstanceName, Target> m_state;
-    std::multimap<Time, std::pair<InstanceName, CallId>> m_ends; /**< of requests that run */
+    std::multimap<Time, std::pair<InstanceName, CallId>> m_completionsDue; /**< of running requests */
     std::multimap<Time, InstanceName> m_crashesDue;
     std::vector<Time> m_crashes;
     Random m_random { 7 };
     std::uint64_t m_sent = 0;
-    Duration m_announcedLate {};
-    unsigned m_lostOneOf = 0;
-    bool m_isDeadly = true;
-    bool m_repeats = false;
-    std::map<Ticket, std::string> m_repeatable; /**< first sendings and their paths */
+    Duration m_announcementDelay {};
+    unsigned m_lossOneIn = 0;
+    bool m_isCrashingEnabled = true;
+    bool m_areCallersRetrying = false;
+    std::map<Ticket, std::string> m_firstAttempts; /**< their paths; filled if callers retry */
 };
 
 } // namespace plankledge::test
--- a/tests/support/RelayRig.cpp
+++ b/tests/support/RelayRig.cpp
@@ -11,7 +11,7 @@
 const std::string rigHost = "rig.example";
 constexpr Duration tick = Milliseconds (5);
 constexpr Duration announcementPeriod = Milliseconds (1500);
-constexpr Duration usualWork = Milliseconds (20);
+constexpr Duration defaultServiceTime = Milliseconds (20);
 
 } // namespace
 
@@ -40,15 +40,15 @@
 void RelayRig::add (const InstanceName& instance, const ServiceName& service, const ZoneName& zone,
                     std::uint32_t slots)
 {
-    addUntold (instance, service, zone, slots);
+    addUnregistered (instance, service, zone, slots);
 
     for (const auto& [name, other] : m_hosts)
         if (other.m_isAlive)
             apply (name, MembersRead { m_members, {} });
 }
 
-void RelayRig::addUntold (const InstanceName& instance, const ServiceName& service, const ZoneName& zone,
-                          std::uint32_t slots)
+void RelayRig::addUnregistered (const InstanceName& instance, const ServiceName& service,
+                                const ZoneName& zone, std::uint32_t slots)
 {
     auto& host = m_hosts[instance];
     const auto number = static_cast<unsigned> (m_hosts.size());
@@ -63,7 +63,7 @@
     host.m_settings.m_seed = number;
     host.m_slots = slots;
     host.m_target = [] (RelayRig& rig, const InstanceName& name, const RelayToTarget& dispatch) {
-        rig.reply (name, dispatch.m_call, TargetReplyKind::answered, usualWork);
+        rig.reply (name, dispatch.m_call, TargetReplyKind::answered, defaultServiceTime);
     };
     m_members.push_back (host.m_settings.m_self);
     start (instance);
@@ -73,13 +73,13 @@
 void RelayRig::start (const InstanceName& instance)
 {
     auto& host = m_hosts.at (instance);
-    host.m_settings.m_self.m_id.m_incarnation = ++host.m_life;
+    host.m_settings.m_self.m_id.m_incarnation = ++host.m_processIncarnation;
     host.m_reducer = std::make_unique<Reducer> (
         host.m_settings, m_settings, [this] (const std::string& text) -> absl::StatusOr<RouteTable> {
             const auto found = m_tables.find (text);
 
             if (found == m_tables.end())
-                return absl::InvalidArgumentError ("no such version");
+                return absl::InvalidArgumentError ("unknown route table");
 
             return found->second;
         });
@@ -121,9 +121,9 @@
 void RelayRig::announce (const InstanceName& instance, AnnouncedState state)
 {
     auto& host = m_hosts.at (instance);
-    host.m_targetServes = state == AnnouncedState::serving;
+    host.m_isTargetServing = state == AnnouncedState::serving;
     host.m_announcedAt = m_now;
-    apply (instance, TargetAnnounced { instance + "-target-" + std::to_string (host.m_targetLife),
+    apply (instance, TargetAnnounced { instance + "-target-" + std::to_string (host.m_targetIncarnation),
                                        state,
                                        ++host.m_sequence,
                                        host.m_settings.m_self.m_service,
@@ -148,14 +148,14 @@
 
 void RelayRig::publish (const RouteTable& routes)
 {
-    m_published = nameRoutes (routes);
+    m_published = registerRoutes (routes);
 
     for (const auto& [instance, host] : m_hosts)
         if (host.m_isAlive)
             apply (instance, RoutesRead { m_published });
 }
 
-std::string RelayRig::nameRoutes (const RouteTable& routes)
+std::string RelayRig::registerRoutes (const RouteTable& routes)
 {
     const auto name = "version " + std::to_string (routes.version());
     m_tables[name] = routes;
@@ -167,7 +167,7 @@
     apply (instance, std::move (event));
 }
 
-void RelayRig::tellAll (const InstanceName& instance)
+void RelayRig::sendMembersAndRoutes (const InstanceName& instance)
 {
     apply (instance, MembersRead { m_members, {} });
     apply (instance, RoutesRead { m_published });
@@ -197,7 +197,7 @@
                       std::uint16_t status)
 {
     deliver (instance, TargetReply { call, kind, { status, {}, "answer" } }, after,
-             m_hosts.at (instance).m_life);
+             m_hosts.at (instance).m_processIncarnation);
 }
 
 std::vector<RelayRig::Run> RelayRig::runsOf (const std::string& id) const
@@ -223,11 +223,13 @@
             m_queue.pop();
             auto& host = m_hosts.at (next.m_instance);
 
-            if (! host.m_isAlive || (next.m_life != 0 && next.m_life != host.m_life))
+            if (! host.m_isAlive ||
+                (next.m_processIncarnation != 0 && next.m_processIncarnation != host.m_processIncarnation))
                 continue;
 
             if (host.m_frozenUntil > m_now)
-                deliver (next.m_instance, next.m_event, host.m_frozenUntil - m_now, next.m_life);
+                deliver (next.m_instance, next.m_event, host.m_frozenUntil - m_now,
+                         next.m_processIncarnation);
             else
                 apply (next.m_instance, next.m_event);
         }
@@ -239,7 +241,7 @@
             if (! host.m_isAlive || host.m_frozenUntil > m_now)
                 continue;
 
-            if (host.m_targetServes && m_now - host.m_announcedAt >= announcementPeriod)
+            if (host.m_isTargetServing && m_now - host.m_announcedAt >= announcementPeriod)
                 announce (instance);
 
             if (host.m_isAlive && host.m_reducer->nextWakeUp().value_or (m_now) <= m_now)
@@ -248,9 +250,9 @@
     }
 }
 
-void RelayRig::deliver (const InstanceName& instance, EventBody event, Duration after, unsigned life)
+void RelayRig::deliver (const InstanceName& instance, EventBody event, Duration after, unsigned incarnation)
 {
-    m_queue.push ({ m_now + after, ++m_order, instance, life, std::move (event) });
+    m_queue.push ({ m_now + after, ++m_order, instance, incarnation, std::move (event) });
 }
 
 void RelayRig::apply (const InstanceName& instance, EventBody event)
@@ -269,7 +271,7 @@
 {
     const auto& to = effect.m_instance;
     const auto found = m_hosts.find (to);
-    m_crashNews += std::holds_alternative<CrashUpdate> (effect.m_message) ? 1 : 0;
+    m_crashUpdates += std::holds_alternative<CrashUpdate> (effect.m_message) ? 1 : 0;
     m_hellos += std::holds_alternative<PeerHello> (effect.m_message) ? 1 : 0;
 
     if (isCut (from, to))
@@ -288,7 +290,7 @@
     const auto link = m_linkIds.try_emplace ({ from, to }, m_linkIds.size() + 1).first->second;
     m_links[link] = from;
     deliver (to, PeerMessageReceived { link, m_hosts.at (from).m_settings.m_self.m_id, effect.m_message },
-             latency, found->second.m_life);
+             latency, found->second.m_processIncarnation);
 }
 
 void RelayRig::carryOut (const InstanceName& from, const ReplyOnLink& effect)
@@ -297,7 +299,7 @@
 
     if (! isCut (from, to))
         deliver (to, PeerMessageReceived { 0, m_hosts.at (from).m_settings.m_self.m_id, effect.m_message },
-                 latency, m_hosts.at (to).m_life);
+                 latency, m_hosts.at (to).m_processIncarnation);
 }
 
 void RelayRig::carryOut (const InstanceName&, const AnswerRelay& effect)
--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -15,22 +15,22 @@
 
 //==============================================================================
 /**
-    Nodes for relayed requests in virtual time: real reducers, a network between them and
-    targets beside them. Nodes can be killed, started again, frozen, and cut off from each
-    other; a cut link loses what is sent over it and says nothing.
+    Simulates nodes that relay requests, in virtual time: real reducers, a network and one
+    target for each node. Nodes can be killed, restarted, frozen and partitioned from each
+    other. A partitioned link drops messages without reporting an error.
 */
 class RelayRig
 {
 public:
     //==============================================================================
-    /** How a request ended for its sender. */
+    /** The result that a caller received. */
     struct Answer
     {
         RelayResult m_result;
         Time m_at;
     };
 
-    /** A request that reached a target. */
+    /** A dispatch of a request to a target. */
     struct Run
     {
         InstanceName m_instance;
@@ -39,17 +39,17 @@
         bool m_isAbandoned = false;
     };
 
-    /** What a target does with a request: replies by TargetReply, or never. */
+    /** Handles a request at a target. Calls reply(), or doesn't if the target never answers. */
     using TargetBehaviour = std::function<void (RelayRig&, const InstanceName&, const RelayToTarget&)>;
 
     RelayRig();
 
     //==============================================================================
-    /** Adds a node whose target has announced itself, and tells all of it. */
+    /** Adds a node whose target has announced itself, and sends the new member list to all nodes. */
     void add (const InstanceName& instance, const ServiceName& service, const ZoneName& zone = "zone-a",
               std::uint32_t slots = 20);
 
-    /** Starts a node's process without telling it anything. */
+    /** Starts a node's process, which has no members and no routes. */
     void start (const InstanceName& instance);
 
     void kill (const InstanceName& instance);
@@ -57,25 +57,25 @@
     void cut (const InstanceName& one, const InstanceName& other);
     void healAll() { m_cuts.clear(); }
 
-    /** The node's target announces itself again; states other than serving come once. */
+    /** Announces the node's target. Only the serving state is announced again periodically. */
     void announce (const InstanceName& instance, AnnouncedState state = AnnouncedState::serving);
 
-    /** The target says nothing any more, until it is announced again. */
-    void silence (const InstanceName& instance) { m_hosts.at (instance).m_targetServes = false; }
+    /** Stops the target's periodic announcements until the next call of announce(). */
+    void stopAnnouncing (const InstanceName& instance) { m_hosts.at (instance).m_isTargetServing = false; }
 
-    /** The target is replaced by another one. */
-    void replaceTarget (const InstanceName& instance) { ++m_hosts.at (instance).m_targetLife; }
+    /** Replaces the target by one with another id, which announces itself at the next announcement. */
+    void replaceTarget (const InstanceName& instance) { ++m_hosts.at (instance).m_targetIncarnation; }
 
-    /** The target starts again under its id, and says so; from now on it tells when it started. */
+    /** Restarts the target under its id and announces it. Later announcements include its start time. */
     void restartTarget (const InstanceName& instance, std::uint32_t slots);
 
-    /** @returns when the target started, by its own clock */
+    /** @returns the start time that the target announces */
     Duration targetStartedAt (const InstanceName& instance) const
     {
         return m_hosts.at (instance).m_targetStartedAt.value();
     }
 
-    /** @returns how often the node was told to drop its connections to the target */
+    /** @returns how often the node's reducer dropped the connections to its target */
     unsigned connectionsDropped (const InstanceName& instance) const
     {
         return m_hosts.at (instance).m_connectionsDropped;
@@ -83,40 +83,47 @@
 
     void setTarget (const InstanceName& instance, TargetBehaviour behaviour);
 
-    /** Nodes that are started from now on are told that all start for the first time. */
+    /** Sets RelaySettings::m_isFirstStart of nodes that are started later. */
     void setFirstStart (bool isFirst) { m_settings.m_isFirstStart = isFirst; }
 
-    /** Settings of the nodes that are started from now on. */
+    /** Settings of nodes that are started later. */
     RelaySettings& settings() noexcept { return m_settings; }
 
-    /** Takes what nodes want of the store; without, they are told by the rig. */
+    /** Receives the effects that address the store. Without a hook they are dropped. */
     using StoreHook = std::function<void (const InstanceName&, const Effect&)>;
-    void setStore (StoreHook hook) { m_store = std::move (hook); }
+    void setStoreHook (StoreHook hook) { m_store = std::move (hook); }
 
-    /** Adds a node and starts it without telling it or others anything; its target has announced itself. */
-    void addUntold (const InstanceName& instance, const ServiceName& service, const ZoneName& zone,
-                    std::uint32_t slots);
+    /** Adds and starts a node whose target has announced itself, without sending member lists or routes. */
+    void addUnregistered (const InstanceName& instance, const ServiceName& service, const ZoneName& zone,
+                          std::uint32_t slots);
 
-    /** Gives a version of the routes a name by which a node can be told of it. */
-    std::string nameRoutes (const RouteTable& routes);
+    /** Stores a route table.
 
-    /** Gives all nodes a version of the routes, as the store would. */
+        @returns the text by which RoutesRead refers to it
+    */
+    std::string registerRoutes (const RouteTable& routes);
+
+    /** Sends a route table to all nodes, as the store would. */
     void publish (const RouteTable& routes);
+
+    /** Applies an event to a node at once. */
     void tell (const InstanceName& instance, EventBody event);
 
-    /** Tells a node that has started again what all know: the members and the routes in force. */
-    void tellAll (const InstanceName& instance);
+    /** Sends the member list and the routes in force to a node. */
+    void sendMembersAndRoutes (const InstanceName& instance);
 
     //==============================================================================
-    /** Sends a request to a node; its id must be new. */
+    /** Sends a request with a unique id to a node. */
     Ticket send (const InstanceName& instance, const std::string& id, const std::string& path,
                  Duration timeout = std::chrono::seconds (5), const Credential& credential = {});
+
+    /** Disconnects the caller of a request. */
     void close (const InstanceName& instance, Ticket ticket);
 
-    /** Lets the time pass; targets that are alive go on announcing themselves. */
+    /** Advances virtual time. Serving targets announce themselves periodically. */
     void run (Duration duration);
 
-    /** A target replies after a time. */
+    /** Sends a target's reply after a delay. */
     void reply (const InstanceName& instance, CallId call, TargetReplyKind kind, Duration after,
                 std::uint16_t status = 200);
 
@@ -124,8 +131,8 @@
     const std::vector<Run>& runs() const noexcept { return m_runs; }
     std::vector<Run> runsOf (const std::string& id) const;
     const Reducer& reducer (const InstanceName& instance) const { return *m_hosts.at (instance).m_reducer; }
-    std::uint64_t hellos() const noexcept { return m_hellos; }          /**< sent by all nodes so far */
-    std::uint64_t crashUpdates() const noexcept { return m_crashNews; } /**< the same of news of crashes */
+    std::uint64_t hellos() const noexcept { return m_hellos; }             /**< sent by all nodes */
+    std::uint64_t crashUpdates() const noexcept { return m_crashUpdates; } /**< sent by all nodes */
     bool hasExited (const InstanceName& instance) const { return m_hosts.at (instance).m_hasExited; }
     Time now() const noexcept { return m_now; }
 
@@ -139,14 +146,14 @@
         std::uint32_t m_slots = 20;
         std::unique_ptr<Reducer> m_reducer;
         TargetBehaviour m_target;
-        unsigned m_targetLife = 1;
+        unsigned m_targetIncarnation = 1;
         std::uint64_t m_sequence = 0;
         std::optional<Duration> m_targetStartedAt;
         unsigned m_connectionsDropped = 0;
-        bool m_targetServes = true;
+        bool m_isTargetServing = true;
         bool m_isAlive = false;
         bool m_hasExited = false;
-        unsigned m_life = 0;
+        unsigned m_processIncarnation = 0;
         Time m_frozenUntil;
         Time m_announcedAt;
     };
@@ -156,7 +163,7 @@
         Time m_at;
         std::uint64_t m_order = 0;
         InstanceName m_instance;
-        unsigned m_life = 0; /**< of the process; 0: any */
+        unsigned m_processIncarnation = 0; /**< of the receiver; 0 matches any */
         EventBody m_event;
 
         bool operator> (const Delivery& other) const
@@ -165,7 +172,7 @@
         }
     };
 
-    void deliver (const InstanceName& instance, EventBody event, Duration after, unsigned life = 0);
+    void deliver (const InstanceName& instance, EventBody event, Duration after, unsigned incarnation = 0);
     void apply (const InstanceName& instance, EventBody event);
     void carryOut (const InstanceName& instance, const Effects& effects);
     void carryOut (const InstanceName& from, const SendToPeer& effect);
@@ -178,11 +185,11 @@
     {
         ++m_hosts.at (from).m_connectionsDropped;
     }
-    void carryOut (const InstanceName& from, const ReadTopic& effect) { toStore (from, effect); }
-    void carryOut (const InstanceName& from, const PublishMember& effect) { toStore (from, effect); }
-    void carryOut (const InstanceName& from, const WithdrawMember& effect) { toStore (from, effect); }
+    void carryOut (const InstanceName& from, const ReadTopic& effect) { forwardToStore (from, effect); }
+    void carryOut (const InstanceName& from, const PublishMember& effect) { forwardToStore (from, effect); }
+    void carryOut (const InstanceName& from, const WithdrawMember& effect) { forwardToStore (from, effect); }
     template <class Other> void carryOut (const InstanceName&, const Other&) {}
-    void toStore (const InstanceName& from, const Effect& effect)
+    void forwardToStore (const InstanceName& from, const Effect& effect)
     {
         if (m_store)
             m_store (from, effect);
@@ -196,7 +203,7 @@
     std::priority_queue<Delivery, std::vector<Delivery>, std::greater<>> m_queue;
     std::uint64_t m_order = 0;
     std::set<std::pair<InstanceName, InstanceName>> m_cuts;
-    std::map<LinkId, InstanceName> m_links; /**< to who opened them */
+    std::map<LinkId, InstanceName> m_links; /**< to the instance that opened the link */
     std::map<std::pair<InstanceName, InstanceName>, LinkId> m_linkIds;
     std::map<std::string, RouteTable> m_tables;
     std::string m_published;
@@ -204,15 +211,15 @@
     std::map<Ticket, Answer> m_answers;
     std::vector<Run> m_runs;
     std::uint64_t m_hellos = 0;
-    std::uint64_t m_crashNews = 0;
+    std::uint64_t m_crashUpdates = 0;
     StoreHook m_store;
     RelaySettings m_settings;
 };
 
-/** @returns a route to one service, under "/NAME/" */
+/** @returns a route to a service, with the path prefix "/NAME/" */
 Route makeRoute (const RouteName& name, const ServiceName& service, bool isRepeatable = true);
 
-/** @returns a table with these routes at the rig's host */
+/** @returns a route table for the rig's host */
 RouteTable makeTable (ConfigurationVersion version, const std::vector<Route>& routes,
                       Organisations organisations = {});
 
--- a/tests/support/RelaySite.h
+++ b/tests/support/RelaySite.h
@@ -5,7 +5,7 @@
 namespace plankledge::test
 {
 
-/** Two nodes with targets of one service, and one of another service where requests come in. */
+/** Two nodes with targets of one service, and an entry node of another service. */
 struct RelaySite : RelayRig
 {
     RelaySite();
@@ -16,13 +16,13 @@
     Reason reasonOf (Ticket ticket) const { return answers().at (ticket).m_result.m_reason; }
 };
 
-/** @returns a target that does the same with each request */
+/** @returns a target that replies to each request in the same way */
 RelayRig::TargetBehaviour always (TargetReplyKind kind, Duration after = Milliseconds (20));
 
 /** A target that never replies. */
 void never (RelayRig&, const InstanceName&, const RelayToTarget&);
 
-/** @returns a target that fails in one way the first time, and then answers */
+/** @returns a target that replies to the first request with the given kind, and answers all others */
 RelayRig::TargetBehaviour firstThenAnswers (TargetReplyKind kind);
 
 } // namespace plankledge::test
--- a/tests/support/Rig.cpp
+++ b/tests/support/Rig.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-constexpr Duration longestSleep = Milliseconds (100);
+constexpr Duration maxTickInterval = Milliseconds (100);
 
 } // namespace
 
 //==============================================================================
-void Rig::at (Duration delay, std::function<void()> action)
+void Rig::schedule (Duration delay, std::function<void()> action)
 {
     m_queue.push ({ m_now + delay, m_order++, std::move (action) });
 }
@@ -39,7 +39,7 @@
 void Rig::post (const InstanceName& instance, Duration delay, EventBody body)
 {
     const auto id = m_hosts.at (instance).m_settings.m_self.m_id;
-    at (delay, [this, id, body = std::move (body)] { deliver (id, body); });
+    schedule (delay, [this, id, body = std::move (body)] { deliver (id, body); });
 }
 
 void Rig::deliver (const NodeId& to, EventBody body)
@@ -50,7 +50,8 @@
         return;
 
     if (host.m_frozenUntil > m_now)
-        return at (host.m_frozenUntil - m_now, [this, to, body = std::move (body)] { deliver (to, body); });
+        return schedule (host.m_frozenUntil - m_now,
+                         [this, to, body = std::move (body)] { deliver (to, body); });
 
     apply (host, body);
 }
@@ -66,14 +67,14 @@
 void Rig::scheduleTick (Host& host)
 {
     const auto due =
-        std::min (host.m_reducer->nextWakeUp().value_or (m_now + longestSleep), m_now + longestSleep);
+        std::min (host.m_reducer->nextWakeUp().value_or (m_now + maxTickInterval), m_now + maxTickInterval);
 
     if (host.m_tickAt.has_value() && *host.m_tickAt > m_now && *host.m_tickAt <= due)
         return;
 
     host.m_tickAt = due;
     const auto id = host.m_settings.m_self.m_id;
-    at (std::max (Duration::zero(), due - m_now), [this, id, due] {
+    schedule (std::max (Duration::zero(), due - m_now), [this, id, due] {
         if (m_hosts.at (id.m_instance).m_tickAt == due)
             deliver (id, TimePassed {});
     });
@@ -96,8 +97,8 @@
     settings.m_self = { { instance, 1 }, service, zone, { "10.0.0." + std::to_string (number), 7001 } };
     settings.m_seed = m_random.below (1U << 30U);
 
-    if (m_adjust)
-        m_adjust (settings);
+    if (m_adjustSettings)
+        m_adjustSettings (settings);
 
     start (instance);
 }
@@ -198,7 +199,7 @@
 
 void Rig::carryOut (Host& host, const AnswerRequest& effect)
 {
-    assert (! m_answers.contains (effect.m_ticket) && "a request gets one answer");
+    assert (! m_answers.contains (effect.m_ticket) && "a request is answered once");
     m_answers[effect.m_ticket] = { effect.m_result, m_now };
 
     if (m_onAnswer)
@@ -239,7 +240,7 @@
     const auto bytes = encodeFrame ({ protocolVersion, self, effect.m_instance, effect.m_message });
     const auto frame = decodeFrame (std::string_view (bytes).substr (frameHeaderBytes), effect.m_instance);
     assert (frame.ok() && frame->m_message == effect.m_message);
-    at (m_delay(), [this, to, link, self, message = frame->m_message] {
+    schedule (m_delay(), [this, to, link, self, message = frame->m_message] {
         if (m_links.contains (link))
             deliver (to, PeerMessageReceived { link, self, message });
     });
@@ -254,7 +255,7 @@
         return;
 
     const auto to = found->second.m_from;
-    at (m_delay(), [this, to, self, message = effect.m_message] {
+    schedule (m_delay(), [this, to, self, message = effect.m_message] {
         deliver (to, PeerMessageReceived { 0, self, message });
     });
 }
--- a/tests/support/Rig.h
+++ b/tests/support/Rig.h
@@ -14,7 +14,7 @@
 namespace plankledge::test
 {
 
-/** One dispatch of a call to a target. */
+/** A dispatch of a call to a target. */
 struct Run
 {
     std::string m_key;
@@ -23,7 +23,7 @@
     Time m_at;
 };
 
-/** What a requester got. */
+/** The result that a caller received. */
 struct Answer
 {
     CallResult m_result;
@@ -32,9 +32,9 @@
 
 //==============================================================================
 /**
-    A few reducers in virtual time with messages, a list and a log between them: a fake
-    for tests of decisions. Faults: kill, restart, freeze, one-way cuts, planned stops,
-    a list that lags, a log that is down.
+    Simulates several reducers in virtual time, with a network, a platform list and a platform
+    log. Injects faults: crashes, restarts, freezes, one-way partitions, planned stops, delayed
+    list updates and outages of the log or the list.
 */
 class Rig
 {
@@ -45,7 +45,7 @@
     }
 
     //==============================================================================
-    /** Sets the declarations that are accepted in the log as version 1. */
+    /** Appends a proposal of declarations on base 0 to the configuration log. */
     void declare (const std::string& text);
 
     void add (const InstanceName& instance, const ServiceName& service, const ZoneName& zone = "a");
@@ -54,15 +54,15 @@
     void freeze (const InstanceName& instance, Duration duration);
     void stop (const InstanceName& instance) { post (instance, Duration::zero(), StopRequested {}); }
     void cut (const InstanceName& from, const InstanceName& to) { m_cuts.insert ({ from, to }); }
-    void mend() { m_cuts.clear(); }
+    void healAll() { m_cuts.clear(); }
 
     /** Sends a request to a node.
 
-        @returns the ticket to find its answer by
+        @returns the ticket by which answer() finds the result
     */
     Ticket request (const InstanceName& instance, RequestReceived request);
 
-    /** Lets virtual time pass. */
+    /** Advances virtual time and handles the events that fall due. */
     void run (Duration duration);
 
     //==============================================================================
@@ -75,29 +75,29 @@
     std::vector<InstanceName> instances() const;
 
     //==============================================================================
-    /** Applied to the settings of nodes that are added from now on. */
-    std::function<void (NodeSettings&)> m_adjust;
+    /** Applied to the settings of nodes that are added later. */
+    std::function<void (NodeSettings&)> m_adjustSettings;
 
-    /** How long a message is under way. */
+    /** Latency of a message. */
     std::function<Duration()> m_delay = [] { return Duration (Milliseconds (1)); };
 
-    /** Whether a datagram is lost. */
+    /** Whether to drop a datagram. */
     std::function<bool()> m_losesDatagram = [] { return false; };
 
-    /** How long the target takes for a call. */
+    /** Service time of the target for a call. */
     std::function<Duration (const InstanceName&, const DispatchToTarget&)> m_serviceTime =
         [] (const auto&, const auto&) { return Duration (Milliseconds (10)); };
 
-    /** What the target answers; nothing: it breaks the connection. */
+    /** Status that the target returns; nullopt if it breaks the connection. */
     std::function<std::optional<std::uint16_t> (const InstanceName&, const DispatchToTarget&)>
         m_targetStatus = [] (const auto&, const auto&) { return std::optional<std::uint16_t> (200); };
 
-    /** Called when a target starts a call, to make calls of its own. */
+    /** Called when a call is dispatched to a target, so that the target can make nested calls. */
     std::function<void (const InstanceName&, const DispatchToTarget&)> m_onDispatch;
 
     std::function<void (const InstanceName&, Ticket, const CallResult&)> m_onAnswer;
 
-    /** Sees all effects. */
+    /** Called for each effect before it is carried out. */
     std::function<void (const InstanceName&, const Effect&)> m_onEffect;
 
     Duration m_listAppearLag = Milliseconds (500);
@@ -138,7 +138,7 @@
         }
     };
 
-    void at (Duration delay, std::function<void()> action);
+    void schedule (Duration delay, std::function<void()> action);
     void post (const InstanceName& instance, Duration delay, EventBody body);
     void deliver (const NodeId& to, EventBody body);
     void apply (Host& host, const EventBody& body);
@@ -165,10 +165,10 @@
     void carryOut (Host&, const WriteLog&) {}
     void carryOut (Host& host, const Exit& effect);
 
-    /** Of relayed requests, which no host of the rig serves. */
+    /** Effects of relayed requests, which this rig does not support. */
     template <class Other> void carryOut (Host&, const Other&)
     {
-        throw std::logic_error ("an effect of relayed requests");
+        throw std::logic_error ("Rig does not support effects of relayed requests");
     }
 
     Random m_random;
@@ -185,14 +185,14 @@
     Ticket m_nextTicket = 1;
 };
 
-/** A request of work that may not be repeated.
+/** @returns a request that is not repeatable
 
-    @param attempt   1 for the first sending; 0: not said
-    @param age       negative: not said
+    @param attempt   1 for the first attempt; 0 if not given
+    @param age       time since the first attempt; negative if not given
 */
 RequestReceived makeOnce (const std::string& key, std::uint32_t attempt, Duration age);
 
-/** A request of work that may be repeated. */
+/** @returns a request that is repeatable */
 RequestReceived makeRepeatable (const ServiceName& service, const OperationName& operation);
 
 } // namespace plankledge::test
--- a/tests/support/StoreFleet.cpp
+++ b/tests/support/StoreFleet.cpp
@@ -9,11 +9,11 @@
 {
 
 constexpr Duration step = Milliseconds (5);
-constexpr Duration longestWait = Milliseconds (28000);
-constexpr Duration answerLimit = Milliseconds (800);
+constexpr Duration storeMaxReadWait = Milliseconds (28000);
+constexpr Duration storeResponseTimeout = Milliseconds (800);
 constexpr Duration pauseBetweenReads = Milliseconds (400);
 constexpr Duration retryPause = Milliseconds (600);
-constexpr unsigned startsPerStep = 3; // 0.3 s for 194 nodes
+constexpr unsigned startsPerStep = 3;
 
 } // namespace
 
@@ -21,8 +21,8 @@
 StoreFleet::StoreFleet (unsigned nodes, unsigned zones, const RelaySettings& relay)
 {
     settings() = relay;
-    setStore ([this] (const InstanceName& instance, const Effect& effect) {
-        m_wanted.emplace_back (instance, effect);
+    setStoreHook ([this] (const InstanceName& instance, const Effect& effect) {
+        m_pendingEffects.emplace_back (instance, effect);
     });
 
     setFirstStart (true);
@@ -30,8 +30,8 @@
     for (unsigned number = 0; number < nodes; ++number)
     {
         m_names.push_back ("node-" + std::to_string (number));
-        addUntold (m_names.back(), number % 5 == 0 ? "plans" : "web",
-                   "zone-" + std::to_string (number % zones), 20);
+        addUnregistered (m_names.back(), number % 5 == 0 ? "plans" : "web",
+                         "zone-" + std::to_string (number % zones), 20);
 
         if (number % startsPerStep == 0)
             run (step);
@@ -43,7 +43,7 @@
 void StoreFleet::join (const InstanceName& instance, const ZoneName& zone)
 {
     m_names.push_back (instance);
-    addUntold (instance, "plans", zone, 20);
+    addUnregistered (instance, "plans", zone, 20);
 }
 
 void StoreFleet::kill (const InstanceName& instance)
@@ -67,7 +67,7 @@
 
 void StoreFleet::write (const RouteTable& routes)
 {
-    m_routes.push_back (nameRoutes (routes));
+    m_routes.push_back (registerRoutes (routes));
 }
 
 void StoreFleet::restoreCopy (std::size_t recordsLost, std::size_t versionsLost)
@@ -91,7 +91,7 @@
     {
         RelayRig::run (step);
 
-        for (const auto& [instance, effect] : std::exchange (m_wanted, {}))
+        for (const auto& [instance, effect] : std::exchange (m_pendingEffects, {}))
             onEffect (instance, effect);
 
         readAll();
@@ -110,7 +110,7 @@
         if (std::exchange (reader.m_longestWait, read->m_longestWait) != read->m_longestWait)
         {
             reader.m_isWaiting = false;
-            reader.m_asksAtOnce = read->m_longestWait > Duration::zero();
+            reader.m_isNextReadImmediate = read->m_longestWait > Duration::zero();
         }
     }
     else if (const auto* publish = std::get_if<PublishMember> (&effect))
@@ -131,7 +131,7 @@
 
 bool StoreFleet::isReachable (const InstanceName& instance) const
 {
-    return ! m_isDown && ! m_turnedAway.contains (instance);
+    return ! m_isDown && ! m_rejectedNodes.contains (instance);
 }
 
 StorePlace StoreFleet::endOf (StoreTopic topic) const
@@ -147,8 +147,7 @@
         readOne (key.first, key.second, reader);
 }
 
-/** A read that waits while the store falls silent is answered neither then nor later: only its time shows it.
- */
+/** A blocking read is never answered if the store becomes unreachable meanwhile; it ends by its timeout. */
 void StoreFleet::readOne (const InstanceName& instance, StoreTopic topic, Reader& reader)
 {
     if (reader.m_reading == TopicReading::rest || now() < reader.m_notBefore)
@@ -157,15 +156,15 @@
     if (! reader.m_isWaiting)
         return call (instance, topic, reader);
 
-    reader.m_isLost = reader.m_isLost || ! isReachable (instance);
-    const auto wait = reader.m_longestWait > Duration::zero() ? reader.m_longestWait : longestWait;
-    const auto limit = (reader.m_asksAtOnce ? Duration::zero() : wait) + answerLimit;
+    reader.m_isInterrupted = reader.m_isInterrupted || ! isReachable (instance);
+    const auto wait = reader.m_longestWait > Duration::zero() ? reader.m_longestWait : storeMaxReadWait;
+    const auto limit = (reader.m_isNextReadImmediate ? Duration::zero() : wait) + storeResponseTimeout;
 
-    if (reader.m_isLost && now() - reader.m_waitsSince >= limit)
+    if (reader.m_isInterrupted && now() - reader.m_waitingSince >= limit)
         return setReached (instance, topic, reader, false);
 
-    if (! reader.m_isLost &&
-        (endOf (topic) > reader.m_next || now() - reader.m_waitsSince >= limit - answerLimit))
+    if (! reader.m_isInterrupted &&
+        (endOf (topic) > reader.m_next || now() - reader.m_waitingSince >= limit - storeResponseTimeout))
         answer (instance, topic, reader);
 }
 
@@ -176,14 +175,14 @@
     if (! isReachable (instance))
     {
         setReached (instance, topic, reader, false);
-        reader.m_notBefore = now() + answerLimit + retryPause;
+        reader.m_notBefore = now() + storeResponseTimeout + retryPause;
         return;
     }
 
     setReached (instance, topic, reader, true);
     reader.m_isWaiting = true;
-    reader.m_isLost = false;
-    reader.m_waitsSince = now();
+    reader.m_isInterrupted = false;
+    reader.m_waitingSince = now();
 
     if (! reader.m_next.isKnown())
         answer (instance, topic, reader);
@@ -206,13 +205,13 @@
 {
     const auto from = std::exchange (reader.m_next, endOf (topic));
     reader.m_isWaiting = false;
-    reader.m_asksAtOnce = false;
+    reader.m_isNextReadImmediate = false;
 
     if (topic == StoreTopic::routes && from.isKnown() && from.m_era != m_era)
         tell (instance, StoreRestored { m_era });
 
     if (from == endOf (topic))
-        return confirm (instance, topic, reader); // it waited in vain
+        return confirm (instance, topic, reader); // timed out without new records
 
     if (reader.m_reading == TopicReading::once)
         reader.m_reading = TopicReading::rest;
@@ -228,7 +227,7 @@
     reader.m_notBefore = now() + pauseBetweenReads;
     std::map<InstanceName, std::optional<Member>> newest;
 
-    // Where the copy begins anew all is read again.
+    // In a new era all records are read again.
     const auto first = from.m_era == m_era ? std::max<LogOffset> (0, from.m_offset) : 0;
 
     for (auto offset = first; offset < endOf (topic).m_offset; ++offset)
@@ -252,7 +251,7 @@
 void StoreFleet::confirm (const InstanceName& instance, StoreTopic topic, const Reader& reader)
 {
     if (topic == StoreTopic::routes)
-        tell (instance, RoutesConfirmed { reader.m_waitsSince.time_since_epoch() });
+        tell (instance, RoutesConfirmed { reader.m_waitingSince.time_since_epoch() });
 }
 
 //==============================================================================
--- a/tests/support/StoreFleet.h
+++ b/tests/support/StoreFleet.h
@@ -7,71 +7,71 @@
 
 //==============================================================================
 /**
-    Many nodes in zones, and the platform's store as they meet it, in virtual time: a log
-    of their records, the newest routes, and a count of the calls. It may be down, or turn
-    some nodes away.
+    Simulates a fleet of nodes in several zones and the platform's store, in virtual time. The
+    store holds a log of member records and the versions of the routes, and counts calls. It can
+    be down, or reject the calls of some nodes.
 */
 class StoreFleet : public RelayRig
 {
 public:
     //==============================================================================
-    /** Starts so many nodes for the first time, within 0.3 s, dealt among zones and two services. */
+    /** Starts nodes for the first time, spread over zones and two services. */
     StoreFleet (unsigned nodes, unsigned zones, const RelaySettings& settings = {});
 
     void run (Duration duration);
 
-    /** Writes a version of the routes to the store, as an operator. */
+    /** Appends a version of the routes to the store, as an operator would. */
     void write (ConfigurationVersion version);
     void write (const RouteTable& routes);
 
-    /** Starts a node that the store has not heard of. */
+    /** Adds and starts a node of which the store has no record. */
     void join (const InstanceName& instance, const ZoneName& zone);
 
-    /** The process is gone, and what it asked of the store with it. */
+    /** Kills a node's process and cancels its reads of the store. */
     void kill (const InstanceName& instance);
 
-    /** The process starts again at once, with an empty memory. */
+    /** Restarts a node's process, which loses its state. */
     void restart (const InstanceName& instance);
 
-    /** Removes a node's record behind its back. */
+    /** Withdraws a node's record without notifying the node. */
     void drop (const InstanceName& instance);
 
-    /** The store comes back from an older copy: it has lost the newest records of nodes, and versions of the
-       routes. Offsets go back and are given out again. */
+    /** Restores the store from a backup that lacks the newest member records and versions of the routes.
+        Offsets are reused in a new era. */
     void restoreCopy (std::size_t recordsLost, std::size_t versionsLost);
 
     void setDown (bool isDown) { m_isDown = isDown; }
-    void turnAway (const InstanceName& instance) { m_turnedAway.insert (instance); }
-    void letAllIn() { m_turnedAway.clear(); }
+    void turnAway (const InstanceName& instance) { m_rejectedNodes.insert (instance); }
+    void letAllIn() { m_rejectedNodes.clear(); }
 
     //==============================================================================
     std::uint64_t calls() const noexcept { return m_calls; }
     const std::vector<InstanceName>& names() const noexcept { return m_names; }
     bool hasRecordOf (const InstanceName& instance) const;
 
-    /** @returns the nodes that follow the store */
+    /** @returns the nodes that follow the members topic */
     std::vector<InstanceName> following() const;
 
-    /** @returns how many nodes have the version in force */
+    /** @returns the number of nodes that have this version of the routes in force */
     std::size_t nodesWith (ConfigurationVersion version) const;
 
-    /** @returns how many nodes know the instance */
+    /** @returns the number of nodes that know the instance as a peer */
     std::size_t nodesKnowing (const InstanceName& instance) const;
 
 private:
     //==============================================================================
-    /** How a node reads one topic. */
+    /** State of a node's reads of one topic. */
     struct Reader
     {
         TopicReading m_reading = TopicReading::rest;
-        StorePlace m_next; /**< not known: to be listed */
-        Time m_notBefore;  /**< of the next call */
-        Time m_waitsSince; /**< of the call that waits */
+        StorePlace m_next;   /**< of the next read; unknown if the topic is to be listed */
+        Time m_notBefore;    /**< earliest time of the next call */
+        Time m_waitingSince; /**< start of the blocking read */
         bool m_isWaiting = false;
-        bool m_isLost = false; /**< what it waits for: the store fell silent meanwhile */
+        bool m_isInterrupted = false; /**< whether the store became unreachable during the blocking read */
         bool m_isReached = true;
-        Duration m_longestWait {}; /**< of a read without news; 0: as long as the store lets it */
-        bool m_asksAtOnce = false; /**< the next read does not wait */
+        Duration m_longestWait {};          /**< of a blocking read; 0 means the store's maximum */
+        bool m_isNextReadImmediate = false; /**< whether the next read does not block */
     };
 
     void onEffect (const InstanceName& instance, const Effect& effect);
@@ -89,8 +89,8 @@
     std::vector<std::pair<InstanceName, std::optional<Member>>> m_records;
     std::vector<std::string> m_routes;
     std::map<std::pair<InstanceName, StoreTopic>, Reader> m_readers;
-    std::vector<std::pair<InstanceName, Effect>> m_wanted; /**< since the last step */
-    std::set<InstanceName> m_turnedAway;
+    std::vector<std::pair<InstanceName, Effect>> m_pendingEffects; /**< since the last step */
+    std::set<InstanceName> m_rejectedNodes;
     std::uint64_t m_calls = 0;
     StoreEra m_era = 1;
     bool m_isDown = false;
--- a/tests/support/StoreStandin.cpp
+++ b/tests/support/StoreStandin.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t listedAtOnce = 3; // small, so that listings have pages
+constexpr std::size_t listPageSize = 3; // small, so that tests cover paging
 
 std::string queryValue (const std::string& target, const std::string& name)
 {
@@ -58,15 +58,15 @@
     , m_endpoint { "127.0.0.1", freePort() }
 {
     if (! m_server.listen (m_endpoint).ok())
-        throw std::runtime_error ("the store's stand-in can't listen");
+        throw std::runtime_error ("StoreStandin: cannot listen on a loopback port");
 }
 
-/** @returns what answers with the era that the store has by then */
+/** @returns a responder that adds the era at the time of the response */
 HttpServer::Respond StoreStandin::withEra (const HttpServer::Respond& respond) const
 {
     return [this, respond] (HttpResponse response) {
         response.m_headers.emplace_back ("Store-Era",
-                                         m_spoiledEra.empty() ? std::to_string (m_era) : m_spoiledEra);
+                                         m_eraOverride.empty() ? std::to_string (m_era) : m_eraOverride);
         respond (std::move (response));
     };
 }
@@ -152,7 +152,7 @@
     std::size_t count = 0;
     auto at = entry.m_newest.upper_bound (after);
 
-    for (; at != entry.m_newest.end() && count < listedAtOnce; ++at, ++count)
+    for (; at != entry.m_newest.end() && count < listPageSize; ++at, ++count)
         items += fmt::format (R"({}{{"tlsKey":"{}","value":"{}","offset":{}}})", count > 0 ? "," : "",
                               at->first, absl::Base64Escape (at->second.second), at->second.first);
 
--- a/tests/support/StoreStandin.h
+++ b/tests/support/StoreStandin.h
@@ -12,8 +12,8 @@
 
 //==============================================================================
 /**
-    A stand-in for the platform's store on loopback: keyed topics with one partition,
-    long reads, and the faults that the store is said to have.
+    A stand-in for the platform's store on loopback: keyed topics with one partition, blocking
+    reads, and the documented faults of the store.
 */
 class StoreStandin
 {
@@ -22,10 +22,10 @@
     enum class Fault
     {
         none,
-        unavailable, /**< 503: nothing is done */
-        tooMany,     /**< 429 */
-        silent,      /**< no answer at all */
-        answersLost  /**< appends take effect, and their answers are lost */
+        unavailable, /**< responds with 503 and does nothing */
+        tooMany,     /**< responds with 429 and does nothing */
+        silent,      /**< never responds */
+        answersLost  /**< appends take effect, but are not responded to */
     };
 
     struct Record
@@ -34,20 +34,22 @@
         std::string m_value;
     };
 
-    /** Listens on a port of its own. */
+    /** Listens on a free port.
+
+        @throws std::runtime_error   if it cannot listen
+    */
     explicit StoreStandin (boost::asio::io_context& context);
 
     Endpoint endpoint() const { return m_endpoint; }
     void setFault (Fault fault) { m_fault = fault; }
 
-    /** Appends as an operator would, past all faults. */
+    /** Appends a record regardless of the fault, as an operator would. */
     void put (const std::string& topic, const std::string& key, const std::string& value);
 
-    /** @returns all that it holds */
+    /** @returns a backup of all topics */
     auto copy() const { return m_topics; }
 
-    /** Comes back with what a copy holds: reads that wait are cut, offsets are given out again, and the era
-     * rises. */
+    /** Restores a backup: repeats the blocking reads, reuses offsets and increments the era. */
     template <class Copy> void restore (const Copy& copy)
     {
         m_topics = copy;
@@ -55,13 +57,13 @@
         wakeReaders();
     }
 
-    /** Answers tell this as their era; empty: the true one. */
-    void spoilEra (std::string text) { m_spoiledEra = std::move (text); }
+    /** Overrides the era in responses; an empty text restores the actual one. */
+    void spoilEra (std::string text) { m_eraOverride = std::move (text); }
 
-    /** Forgets the records of a topic but the newest of each key; reads of older ones get 410. */
+    /** Drops the log of a topic but keeps the newest value of each key; reads of dropped offsets get 410. */
     void compact (const std::string& topic);
 
-    /** @returns the newest value of a key, or nothing */
+    /** @returns the newest value of a key, or an empty text */
     std::string newest (const std::string& topic, const std::string& key) const;
 
     std::size_t appends() const noexcept { return m_appends; }
@@ -70,7 +72,7 @@
     //==============================================================================
     struct Topic
     {
-        std::size_t m_first = 0; /**< offset of the first record that is kept */
+        std::size_t m_first = 0; /**< offset of the first retained record */
         std::vector<Record> m_records;
         std::map<std::string, std::pair<std::size_t, std::string>> m_newest;
     };
@@ -98,7 +100,7 @@
     std::vector<HttpServer::Respond> m_unanswered;
     std::size_t m_appends = 0;
     std::uint64_t m_era = 1;
-    std::string m_spoiledEra;
+    std::string m_eraOverride;
 };
 
 } // namespace plankledge::test
