--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -91,7 +91,7 @@
 
     /** Receives the effects that address the store. Without a hook they are dropped. */
     using StoreHook = std::function<void (const InstanceName&, const Effect&)>;
-    void setStoreHook (StoreHook hook) { m_store = std::move (hook); }
+    void setStoreHook (StoreHook hook) { m_storeHook = std::move (hook); }
 
     /** Adds and starts a node whose target has announced itself, without sending member lists or routes. */
     void addUnregistered (const InstanceName& instance, const ServiceName& service, const ZoneName& zone,
@@ -191,8 +191,8 @@
     template <class Other> void carryOut (const InstanceName&, const Other&) {}
     void forwardToStore (const InstanceName& from, const Effect& effect)
     {
-        if (m_store)
-            m_store (from, effect);
+        if (m_storeHook)
+            m_storeHook (from, effect);
     }
 
     bool isCut (const InstanceName& one, const InstanceName& other) const;
@@ -212,7 +212,7 @@
     std::vector<Run> m_runs;
     std::uint64_t m_hellos = 0;
     std::uint64_t m_crashUpdates = 0;
-    StoreHook m_store;
+    StoreHook m_storeHook;
     RelaySettings m_settings;
 };
 
