--- a/modules/plankledge_core/ContentDigest.cpp
+++ b/modules/plankledge_core/ContentDigest.cpp
@@ -10,8 +10,8 @@
 {
     auto digest = hashText (organisation);
 
-    // Each part is hashed on its own, with the one before as its seed: no part can pass for the end of
-    // another.
+    // Chaining the hashes, instead of hashing the concatenation, keeps the boundaries between parts
+    // significant.
     for (const std::string_view part :
          { host, std::string_view (content.m_method), std::string_view (content.m_path),
            std::string_view (content.m_body) })
--- a/modules/plankledge_core/ContentDigest.h
+++ b/modules/plankledge_core/ContentDigest.h
@@ -7,17 +7,17 @@
 namespace plankledge
 {
 
-/** Digests what makes two requests the same one to a target, whatever ids they carry and wherever they come
-   in.
+/** Computes a digest that identifies equivalent requests, regardless of their ids and of the node that
+    receives them.
 
-    Method, path with its query and body count, and the host by which the route is found; so does the
-   organisation that asks, so that none can have another's requests taken for its own. Headers don't: they
-   differ between two sendings of one request.
+    Covers the method, the path with its query, the body, the host and the organisation, so that requests of
+    different organisations never share a digest by construction. Headers are excluded, since they differ
+    between attempts of one request.
 
-    Of 10,000 digests that are remembered another request hits one by chance with a probability of 5e-16.
+    With 10,000 stored digests, an unrelated request collides with a probability of 5e-16.
 
-    @param organisation   whose key the request has; empty: it needs none
-    @param host           that the request names
+    @param organisation   the owner of the request's API key; empty if the route requires no key
+    @param host           the host that the request names
     @returns a hash that is the same on every node
 */
 ContentDigest digestOf (const OrganisationName& organisation, std::string_view host,
--- a/modules/plankledge_core/CrashMessages.h
+++ b/modules/plankledge_core/CrashMessages.h
@@ -9,20 +9,20 @@
 #include <vector>
 
 /**
-    What nodes tell each other about targets that ended with requests running, so that a
-    request which crashes whoever runs it is known everywhere.
+    Messages between nodes about targets that ended while requests were running, so that
+    every node can identify requests that crash targets.
 
-    Ages are passed on instead of times, since the clocks of two instances never meet.
+    They carry ages instead of timestamps, since the clocks of instances are not comparable.
 
     @see PeerMessage
 */
 namespace plankledge
 {
 
-/** Names one crash of a target. */
+/** Identifies one crash of a target. */
 struct CrashId
 {
-    NodeId m_reporter; /**< the node beside the target */
+    NodeId m_reporter; /**< the target's node */
     std::uint64_t m_number = 0;
 
     auto operator<=> (const CrashId&) const = default;
@@ -30,13 +30,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_reporter, m_number); }
 };
 
-/** A target ended while it ran requests; told again where more is known of it. */
+/** Reports that a target ended while it ran requests; sent again when the report changes. */
 struct CrashReport
 {
     CrashId m_id;
-    Duration m_age {};                     /**< since it ended, when this was sent */
-    bool m_isWithdrawn = false;            /**< the target was seen to live after all */
-    std::vector<ContentDigest> m_suspects; /**< of what it ran, and had not run to an end before */
+    Duration m_age {};                     /**< since the target ended, at the time of sending */
+    bool m_isWithdrawn = false;            /**< the target turned out to be running */
+    std::vector<ContentDigest> m_suspects; /**< requests that it was running and had never completed before */
 
     auto operator<=> (const CrashReport&) const = default;
 
@@ -46,18 +46,18 @@
     }
 };
 
-/** A target ran a suspect to its end and lived: the crashes before that had another cause. */
+/** Reports that a target completed a suspect request: earlier crashes had another cause. */
 struct CrashAcquittal
 {
     ContentDigest m_content = 0;
-    Duration m_age {}; /**< since it ended, when this was sent */
+    Duration m_age {}; /**< since the request completed, at the time of sending */
 
     auto operator<=> (const CrashAcquittal&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_content, m_age); }
 };
 
-/** Told to peers when it is new, and in answer to CrashPull. */
+/** Sent to peers when there are new reports, and in answer to CrashPull. */
 struct CrashUpdate
 {
     std::vector<CrashReport> m_crashes;
@@ -70,10 +70,10 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_crashes, m_acquittals); }
 };
 
-/** Asks for all that the receiver knows of crashes. */
+/** Requests all crash reports and acquittals that the receiver stores. */
 struct CrashPull
 {
-    std::uint64_t m_have = 0; /**< the asker's PeerStatus::m_crashes */
+    std::uint64_t m_have = 0; /**< the sender's PeerStatus::m_crashes */
 
     auto operator<=> (const CrashPull&) const = default;
 
--- a/modules/plankledge_core/Declarations.h
+++ b/modules/plankledge_core/Declarations.h
@@ -11,11 +11,11 @@
 namespace plankledge
 {
 
-/** Versions of the declarations count up from 1; 0 means none yet. */
+/** Version of the declarations, counted from 1; 0 means that none is in force. */
 using ConfigurationVersion = std::uint64_t;
 
 //==============================================================================
-/** How much a request matters; the first is the last to be refused. */
+/** Priority class of a request, in descending order: lower classes are shed first. */
 enum class PriorityClass : std::uint8_t
 {
     critical,
@@ -30,34 +30,34 @@
 std::string_view nameOf (PriorityClass priority) noexcept;
 
 //==============================================================================
-/** One operation of a service, as its operators declare it. */
+/** Declaration of one operation of a service. */
 struct OperationDeclaration
 {
     PriorityClass m_class = PriorityClass::normal;
     bool m_isRepeatable = true;
-    Milliseconds m_longestWait { 2000 };   /**< a caller waits no longer */
-    std::uint32_t m_retryBudget = 2;       /**< tries beyond the first, over the whole call chain */
+    Milliseconds m_longestWait { 2000 };   /**< upper bound of a call's timeout */
+    std::uint32_t m_retryBudget = 2;       /**< retries allowed over the whole call chain */
     Milliseconds m_recordWindow { 60000 }; /**< how long the outcome of a non-repeatable request is kept */
 
     auto operator<=> (const OperationDeclaration&) const = default;
 };
 
 //==============================================================================
-/** One service: the targets' size and what they can be asked. */
+/** Declaration of one service: its targets' capacity and its operations. */
 struct ServiceDeclaration
 {
-    std::uint32_t m_slots = 100;       /**< requests one target runs at the same time */
-    std::uint32_t m_queueLength = 200; /**< requests that may wait in front of one target */
+    std::uint32_t m_slots = 100;       /**< requests that one target runs concurrently */
+    std::uint32_t m_queueLength = 200; /**< requests that may be queued for one target */
     std::map<OperationName, OperationDeclaration> m_operations;
 
     auto operator<=> (const ServiceDeclaration&) const = default;
 
-    /** @returns the operation's declaration, the one named "*", or nullptr */
+    /** @returns the operation's declaration, else the one named "*", else nullptr */
     const OperationDeclaration* find (const OperationName& operation) const noexcept;
 };
 
 //==============================================================================
-/** All that operators declare; a whole version of it is in force at a time. */
+/** All declarations of one version. They take effect together. */
 struct Declarations
 {
     std::map<ServiceName, ServiceDeclaration> m_services;
--- a/modules/plankledge_core/Hash.h
+++ b/modules/plankledge_core/Hash.h
@@ -6,10 +6,10 @@
 namespace plankledge
 {
 
-/** Hashes text with xxHash (XXH3, 64 bits); the same on every machine. */
+/** Hashes text with xxHash (XXH3, 64 bits); the result is the same on every instance. */
 std::uint64_t hashText (std::string_view text, std::uint64_t seed = 0) noexcept;
 
-/** A rendezvous weight: of all instances, the one with the highest weight comes first for the key.
+/** Computes a rendezvous (highest random weight) hash: instances are ordered by descending weight.
 
     @param keyHash   hashText of the key
     @see Membership::candidatesFor
--- a/modules/plankledge_core/Identity.h
+++ b/modules/plankledge_core/Identity.h
@@ -13,20 +13,21 @@
 using ZoneName = std::string;
 using OrganisationName = std::string;
 
-/** Grows with every start of a process on the same instance (microseconds of wall time at start). */
+/** Identifies a run of a process on an instance; increases with every start (wall-clock time of the start,
+    in microseconds). */
 using Incarnation = std::uint64_t;
 
-/** Names one call between two nodes; unique within the sender's incarnation. */
+/** Identifies a call between two nodes; unique within the sender's incarnation. */
 using CallId = std::uint64_t;
 
-/** Names a connection that a peer opened to this node; unique within this process. */
+/** Identifies a connection that a peer opened to this node; unique within this process. */
 using LinkId = std::uint64_t;
 
-/** A record's place in a stream of the platform's log or store; -1: before the first. */
+/** Offset of a record in a stream of the platform's log or store; -1: before the first record. */
 using LogOffset = std::int64_t;
 
 //==============================================================================
-/** One life of a node: a restarted node is a new one, with an empty memory. */
+/** Identifies one incarnation of a node. A restarted node has a new id and none of its former state. */
 struct NodeId
 {
     InstanceName m_instance;
--- a/modules/plankledge_core/LineSink.cpp
+++ b/modules/plankledge_core/LineSink.cpp
@@ -11,11 +11,10 @@
 namespace
 {
 
-/** So many bytes are gathered before they are written unasked: a call for each line costs more than the line.
- */
+/** Lines are buffered up to this size, to save system calls. */
 constexpr std::size_t bytesPerWrite = 4096;
 
-/** A pipe that is said to be writable takes this much without waiting. */
+/** A writable pipe accepts this many bytes without blocking. */
 constexpr std::size_t safeWriteBytes = PIPE_BUF;
 
 bool isWritable (int descriptor) noexcept
--- a/modules/plankledge_core/LineSink.h
+++ b/modules/plankledge_core/LineSink.h
@@ -9,9 +9,9 @@
 
 //==============================================================================
 /**
-    Writes lines to a file descriptor and never waits for whoever reads them.
+    Writes lines to a file descriptor without blocking on a slow reader.
 
-    Lines that can't be written yet are kept, up to a bound; what comes beyond it is
+    Lines that can't be written yet are buffered up to mostPendingBytes; further lines are
     dropped and counted. Not thread-safe.
 */
 class LineSink
@@ -24,16 +24,19 @@
     {
     }
 
-    /** Keeps a line for writing; the line feed is added. */
+    /** Buffers a line and adds a line feed. Writes the buffer once it is large enough. */
     void append (std::string_view line);
 
-    /** Writes what can be written now. */
+    /** Writes as much of the buffer as possible without blocking. */
     void flush() noexcept;
 
+    /** @returns the number of dropped lines */
     std::uint64_t dropped() const noexcept { return m_dropped; }
+
+    /** @returns the size of the buffered text, in bytes */
     std::size_t pending() const noexcept { return m_pending.size(); }
 
-    /** No more bytes are kept. */
+    /** Maximum size of the buffer, in bytes. */
     static constexpr std::size_t mostPendingBytes = 256U << 10U;
 
 private:
--- a/modules/plankledge_core/Logger.cpp
+++ b/modules/plankledge_core/Logger.cpp
@@ -51,42 +51,43 @@
 }
 
 //==============================================================================
-Logger::Logger (std::string instance, Severity lowest, int descriptor)
+Logger::Logger (std::string instance, Severity minSeverity, int descriptor)
     : m_instance (std::move (instance))
-    , m_lowest (lowest)
+    , m_minSeverity (minSeverity)
     , m_sink (descriptor)
 {
 }
 
-bool Logger::count (Flood& flood, long long second, unsigned limit) noexcept
+bool Logger::count (RateLimit& rateLimit, long long second, unsigned maxLines) noexcept
 {
-    if (flood.m_second != second)
-        flood = { second, 0, flood.m_omitted };
+    if (rateLimit.m_second != second)
+        rateLimit = { second, 0, rateLimit.m_omitted };
 
-    if (flood.m_written >= limit)
+    if (rateLimit.m_written >= maxLines)
     {
-        ++flood.m_omitted;
+        ++rateLimit.m_omitted;
         return false;
     }
 
-    ++flood.m_written;
+    ++rateLimit.m_written;
     return true;
 }
 
 void Logger::write (Severity severity, std::string_view event, const std::vector<LogField>& fields,
                     bool isSampled)
 {
-    if (severity < m_lowest)
+    if (severity < m_minSeverity)
         return;
 
     const auto now = std::chrono::system_clock::now();
     const auto second = std::chrono::duration_cast<std::chrono::seconds> (now.time_since_epoch()).count();
-    auto& flood = isSampled ? m_sampled : m_floods.try_emplace (std::string (event)).first->second;
+    auto& rateLimit =
+        isSampled ? m_sampledRateLimit : m_rateLimits.try_emplace (std::string (event)).first->second;
 
-    if (! count (flood, second, isSampled ? sampledLimit : floodLimit))
+    if (! count (rateLimit, second, isSampled ? maxSampledLinesPerSecond : floodLimit))
         return;
 
-    const auto omitted = std::exchange (flood.m_omitted, 0);
+    const auto omitted = std::exchange (rateLimit.m_omitted, 0);
     const auto milliseconds =
         std::chrono::duration_cast<Milliseconds> (now.time_since_epoch()).count() % 1000;
 
--- a/modules/plankledge_core/Logger.h
+++ b/modules/plankledge_core/Logger.h
@@ -28,12 +28,13 @@
 
 //==============================================================================
 /**
-    Writes JSON lines to standard output with fmt, and never waits for whoever reads them.
+    Writes log events as JSON lines, by default to standard output, without blocking on a slow
+    reader.
 
-    A flood of the same event is counted: at most floodLimit lines of a name each second,
-    then one line with how many were left out. Lines of sampled requests have a bound of
-    their own, so that such a request is whole on all nodes. Bodies, keys and secrets never
-    belong in a field. Not thread-safe.
+    Each event is limited to floodLimit lines per second; the next line that is written has the
+    number of omitted lines. Lines of sampled requests have a limit of their own, so that the trace
+    of such a request is complete on all nodes. Request bodies, keys and secrets must not be logged.
+    Not thread-safe.
 
     @see LineSink
 */
@@ -44,40 +45,41 @@
     /** @param instance     put into every line
         @param descriptor   where to write; not owned
     */
-    explicit Logger (std::string instance, Severity lowest = Severity::info, int descriptor = 1);
+    explicit Logger (std::string instance, Severity minSeverity = Severity::info, int descriptor = 1);
 
     ~Logger() { flush(); }
 
     Logger (const Logger&) = delete;
     Logger& operator= (const Logger&) = delete;
 
-    /** Changes the lowest severity that is written, while running. */
-    void setLowest (Severity lowest) noexcept { m_lowest = lowest; }
+    /** Sets the minimum severity of the lines that are written. */
+    void setLowest (Severity minSeverity) noexcept { m_minSeverity = minSeverity; }
 
     /** Writes one line.
 
         @param event       the event's name, lower case with dashes
         @param fields      named values in their order
-        @param isSampled   about a request whose lines are to be whole
+        @param isSampled   whether the line belongs to a sampled request, whose trace is to be complete
     */
     void write (Severity severity, std::string_view event, const std::vector<LogField>& fields = {},
                 bool isSampled = false);
 
-    /** Writes out what is kept, as far as it can be taken now. To be called now and then. */
+    /** Writes as much of the buffer as possible without blocking. To be called periodically. */
     void flush() noexcept { m_sink.flush(); }
 
-    /** @returns lines that nobody took in time */
+    /** @returns the number of lines dropped because the buffer was full */
     std::uint64_t dropped() const noexcept { return m_sink.dropped(); }
 
-    /** Lines of one event in a second. */
+    /** Maximum number of lines per second and event. */
     static constexpr unsigned floodLimit = 50;
 
-    /** Lines of sampled requests in a second, of all events together. */
-    static constexpr unsigned sampledLimit = 500;
+    /** Maximum number of lines of sampled requests per second, over all events. */
+    static constexpr unsigned maxSampledLinesPerSecond = 500;
 
 private:
     //==============================================================================
-    struct Flood
+    /** Number of lines written in the current second, and of lines omitted since the last written one. */
+    struct RateLimit
     {
         long long m_second = 0;
         unsigned m_written = 0;
@@ -88,13 +90,13 @@
 
         @returns whether it may be written
     */
-    static bool count (Flood& flood, long long second, unsigned limit) noexcept;
+    static bool count (RateLimit& rateLimit, long long second, unsigned maxLines) noexcept;
 
     std::string m_instance;
-    Severity m_lowest;
+    Severity m_minSeverity;
     LineSink m_sink;
-    Flood m_sampled;
-    std::map<std::string, Flood, std::less<>> m_floods;
+    RateLimit m_sampledRateLimit;
+    std::map<std::string, RateLimit, std::less<>> m_rateLimits;
 };
 
 /** @returns the text with quotes, backslashes and control characters escaped for JSON */
--- a/modules/plankledge_core/Member.h
+++ b/modules/plankledge_core/Member.h
@@ -11,12 +11,12 @@
 //==============================================================================
 enum class MemberState : std::uint8_t
 {
-    joining, /**< serves repeatable work only */
+    joining, /**< runs repeatable requests only */
     serving,
-    leaving /**< takes no new work */
+    leaving /**< accepts no new requests */
 };
 
-/** A node as others know it. */
+/** Description of a node that is shared with other nodes. */
 struct Member
 {
     NodeId m_id;
@@ -25,7 +25,7 @@
     Endpoint m_endpoint;
     MemberState m_state = MemberState::joining;
     std::uint32_t m_stateVersion =
-        0; /**< counts the member's own changes of state; the higher is the newer */
+        0; /**< incremented by the member at each change of its state; the highest is the latest */
 
     auto operator<=> (const Member&) const = default;
 
--- a/modules/plankledge_core/Outcome.h
+++ b/modules/plankledge_core/Outcome.h
@@ -8,16 +8,16 @@
 {
 
 //==============================================================================
-/** What became of a request, on every answer. */
+/** Outcome of a request; part of every answer. */
 enum class Outcome : std::uint8_t
 {
-    completed, /**< the target's whole answer */
-    notRun,    /**< run nowhere, and it never will be */
-    unknown    /**< it may have run */
+    completed, /**< the target's answer was received completely */
+    notRun,    /**< no target ran the request or will run it */
+    unknown    /**< a target may have run the request */
 };
 
 //==============================================================================
-/** Why the system itself answered; one counter each. */
+/** Why the system answered in place of the target; each has a counter. */
 enum class Reason : std::uint8_t
 {
     none,
@@ -54,17 +54,17 @@
     targetNotReady,
     staleAfterPause,
     targetFailed,
-    keyMissing,   /**< the route wants a key, and the request has none */
-    keyMalformed, /**< it has several, of another scheme, or what can't be one */
+    keyMissing,   /**< the route requires a key, and the request has none */
+    keyMalformed, /**< several keys, an unsupported scheme or an invalid syntax */
     keyUnknown,
-    keyUnproven,    /**< whether its key still holds can't be told: news of the configuration is too old */
-    beyondLimit,    /**< of the organisation's requests in a time */
-    limitUnknown,   /**< no node that counts the organisation's requests can be asked */
-    crashesTargets, /**< targets ended while they ran the same request */
+    keyUnproven,    /**< the key can't be validated: the known configuration is too old */
+    beyondLimit,    /**< the organisation's rate limit is exceeded */
+    limitUnknown,   /**< no node that counts the organisation's requests is reachable */
+    crashesTargets, /**< targets ended while they ran an equivalent request */
     reasonCount
 };
 
-/** Why a request was sent again; one counter each. */
+/** Why a request was retried; each has a counter. */
 enum class RetryReason : std::uint8_t
 {
     notRun,
@@ -72,7 +72,7 @@
     retryReasonCount
 };
 
-/** Why a retry that was allowed in principle did not happen; one counter each. */
+/** Why a failed request was not retried; each has a counter. */
 enum class RetryDenied : std::uint8_t
 {
     budgetSpent,
@@ -93,10 +93,10 @@
 std::string_view nameOf (RetryReason reason) noexcept;
 std::string_view nameOf (RetryDenied reason) noexcept;
 
-/** @returns the HTTP status the system answers with for an outcome and its reason */
+/** @returns the HTTP status of the system's own answer for an outcome and its reason */
 unsigned httpStatusOf (Outcome outcome, Reason reason) noexcept;
 
-/** @returns whether asking again later can end differently */
+/** @returns whether a later retry can succeed */
 bool isTransient (Reason reason) noexcept;
 
 } // namespace plankledge
--- a/modules/plankledge_core/PeerMessages.h
+++ b/modules/plankledge_core/PeerMessages.h
@@ -12,15 +12,15 @@
 #include <vector>
 
 /**
-    What nodes say to each other. All are immutable values; each lists its
-    fields once for the codec, in wire order.
+    Messages between nodes. They are value types; serialize() lists the fields
+    in the order in which they are encoded.
 
     @see FrameCodec
 */
 namespace plankledge
 {
 
-/** A request's place in the order of refusal: class, then cohort; the smaller, the later refused. */
+/** Rank of a request for load shedding: class, then cohort. Higher ranks are shed first. */
 using Rank = std::uint16_t;
 
 inline constexpr Rank cohortsPerClass = 128;
@@ -29,18 +29,18 @@
 inline constexpr Rank admitAll = static_cast<Rank> (priorityClassCount * cohortsPerClass);
 
 //==============================================================================
-/** A life that ended with its records: what it ran before then can't be known. */
+/** An incarnation that ended and whose records are lost: which requests it ran is unknown. */
 struct LostMemory
 {
     NodeId m_id;
-    Duration m_ago {}; /**< since the loss was noticed, at the time of sending */
+    Duration m_ago {}; /**< since the loss was detected, at the time of sending */
 
     auto operator<=> (const LostMemory&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_id, m_ago); }
 };
 
-/** A service's current threshold, as last heard. */
+/** The last known admission threshold of a service. */
 struct ServiceThreshold
 {
     ServiceName m_service;
@@ -52,13 +52,13 @@
 };
 
 //==============================================================================
-/** What the caller wants run; the same on every hop. */
+/** Content of a request, passed on unchanged from node to node. */
 struct RequestContent
 {
     ServiceName m_service;
     OperationName m_operation;
     std::string m_method;
-    std::string m_path; /**< the whole path with its query */
+    std::string m_path; /**< the full path with its query */
     std::string m_contentType;
     std::string m_body;
 
@@ -70,28 +70,28 @@
     }
 };
 
-/** The caller's name for a request that may not be repeated. */
+/** The caller's idempotency key for a non-repeatable request, and the attempt that this is. */
 struct Idempotency
 {
-    std::string m_key;           /**< empty: none was given */
-    std::uint32_t m_attempt = 0; /**< 1 for the first sending; 0: not said */
-    Duration m_age { -1 };       /**< since the first sending; negative: not said */
+    std::string m_key;           /**< empty: none */
+    std::uint32_t m_attempt = 0; /**< 1 for the first attempt; 0: unknown */
+    Duration m_age { -1 };       /**< since the first attempt; negative: unknown */
 
     auto operator<=> (const Idempotency&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_key, m_attempt, m_age); }
 };
 
-/** Asks the receiver to run a call at its own target. */
+/** Requests that the receiver run a call at its local target. */
 struct CallRequest
 {
     CallId m_callId = 0;
     RequestContent m_content;
     Idempotency m_idempotency;
-    std::uint64_t m_rootId = 0; /**< the same on every call of a chain */
+    std::uint64_t m_rootId = 0; /**< shared by all calls of a chain */
     Rank m_rank = 0;
     std::uint16_t m_depth = 0;
-    std::uint32_t m_retryGrant = 0; /**< retries the receiver and all below it may spend */
+    std::uint32_t m_retryGrant = 0; /**< retries that the receiver and its downstream calls may use */
     Duration m_timeLeft {};
 
     auto operator<=> (const CallRequest&) const = default;
@@ -102,16 +102,16 @@
     }
 };
 
-/** The result of a call, whoever gives it. */
+/** Result of a call, from a target or from the system. */
 struct CallResult
 {
     Outcome m_outcome = Outcome::unknown;
     Reason m_reason = Reason::none;
-    std::uint16_t m_status = 0; /**< the target's HTTP status; 0 where the system answers */
+    std::uint16_t m_status = 0; /**< the target's HTTP status; 0 if the system answered */
     std::string m_contentType;
     std::string m_body;
-    Duration m_retryAfter {}; /**< when to ask again; 0: not said */
-    bool m_isFinal = false;   /**< refused deeper in the chain: no use in asking a neighbour */
+    Duration m_retryAfter {}; /**< delay before a retry; 0: unspecified */
+    bool m_isFinal = false;   /**< rejected further down the chain: a retry at another node would not help */
 
     auto operator<=> (const CallResult&) const = default;
 
@@ -127,9 +127,9 @@
     CallId m_callId = 0;
     CallResult m_result;
     std::uint32_t m_retriesReturned = 0;
-    Rank m_threshold = admitAll;                /**< the answering node's own */
-    std::uint16_t m_loadPermille = 0;           /**< in flight and queued, against the limit */
-    std::vector<ServiceThreshold> m_downstream; /**< of services this operation calls */
+    Rank m_threshold = admitAll;                /**< of the answering node */
+    std::uint16_t m_loadPermille = 0;           /**< running and queued requests, relative to the limit */
+    std::vector<ServiceThreshold> m_downstream; /**< of the services that this operation calls */
 
     auto operator<=> (const CallAnswer&) const = default;
 
@@ -139,7 +139,7 @@
     }
 };
 
-/** The caller no longer waits. */
+/** Cancels a CallRequest. */
 struct CallCancel
 {
     CallId m_callId = 0;
@@ -150,7 +150,7 @@
 };
 
 //==============================================================================
-/** Asks whether a key is known, and fences it where it is not. */
+/** Asks whether the receiver has a record of a key; if not, the receiver fences the key. */
 struct Inquiry
 {
     CallId m_inquiryId = 0;
@@ -162,12 +162,12 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_inquiryId, m_key, m_fenceFor); }
 };
 
-/** Answers an Inquiry; unknown keys are fenced before this is sent. */
+/** Answers an Inquiry. An unknown key has been fenced before this is sent. */
 struct InquiryAnswer
 {
     CallId m_inquiryId = 0;
     bool m_isKnown = false;
-    std::vector<Member> m_members; /**< of the service, the answerer included */
+    std::vector<Member> m_members; /**< of the service, including the sender */
     std::vector<LostMemory> m_lost;
 
     auto operator<=> (const InquiryAnswer&) const = default;
@@ -178,18 +178,18 @@
     }
 };
 
-/** A fenced key's hash: a first attempt that meets it is refused. */
+/** Hash of a fenced key: first attempts with this key are rejected. */
 struct Fence
 {
     std::uint64_t m_keyHash = 0;
-    Duration m_for {}; /**< how long it must still stand */
+    Duration m_for {}; /**< remaining lifetime of the fence */
 
     auto operator<=> (const Fence&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_keyHash, m_for); }
 };
 
-/** A new node asks a member of its service to count it in. */
+/** Sent by a new node to the members of its service, to become a member. */
 struct JoinRequest
 {
     Member m_member;
@@ -214,12 +214,12 @@
     }
 };
 
-/** Between members of one service, at a fixed period. */
+/** Sent periodically between the members of a service. */
 struct Heartbeat
 {
     Member m_member;
     ConfigurationVersion m_version = 0;
-    std::uint64_t m_membersDigest = 0; /**< of the members that the sender knows */
+    std::uint64_t m_membersDigest = 0; /**< digest of the members known to the sender */
 
     auto operator<=> (const Heartbeat&) const = default;
 
@@ -230,13 +230,13 @@
 };
 
 //==============================================================================
-/** A finished non-repeatable request as a leaver hands it over. */
+/** Record of a completed non-repeatable request that a leaving node hands over. */
 struct RecordCopy
 {
     std::string m_key;
     std::uint64_t m_bodyHash = 0;
     CallResult m_result;
-    Duration m_for {}; /**< how long it must still be kept */
+    Duration m_for {}; /**< remaining retention of the record */
 
     auto operator<=> (const RecordCopy&) const = default;
 
@@ -266,7 +266,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_batch); }
 };
 
-/** The sender has handed its records over and exits once this is acknowledged. */
+/** Announces that the sender has handed its records over and exits once this is acknowledged. */
 struct LeaveNotice
 {
     NodeId m_id;
@@ -287,7 +287,7 @@
 };
 
 //==============================================================================
-/** Asks for the declarations in force at the receiver. */
+/** Requests the declarations in force at the receiver, if they are newer. */
 struct ConfigurationPull
 {
     ConfigurationVersion m_have = 0;
@@ -297,7 +297,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_have); }
 };
 
-/** A version in force, and the last log offset it takes into account. */
+/** A version of the declarations in force, and the last log offset that it includes. */
 struct ConfigurationState
 {
     ConfigurationVersion m_version = 0;
@@ -317,7 +317,7 @@
                  ProofQuestion, ProofAnswer, LimitQuestion, LimitAnswer, CrashUpdate, CrashPull>;
 
 //==============================================================================
-/** A UDP datagram: who the sender is, what it has in force, and a few members it heard of lately. */
+/** A gossip datagram: the sender, its configuration version and recent changes of members. */
 struct Rumour
 {
     Member m_sender;
--- a/modules/plankledge_core/Random.h
+++ b/modules/plankledge_core/Random.h
@@ -8,7 +8,8 @@
 {
 
 //==============================================================================
-/** A seeded source of choices (Boost.Random): the same seed gives the same choices on every machine. */
+/** A seeded pseudorandom number generator (Boost.Random): the same seed gives the same sequence on every
+    instance. */
 class Random
 {
 public:
@@ -18,7 +19,7 @@
     {
     }
 
-    /** @returns a whole number in [0, bound); 0 when the bound is 0 */
+    /** @returns a uniformly distributed integer in [0, bound); 0 if the bound is 0 */
     std::uint64_t below (std::uint64_t bound)
     {
         if (bound == 0)
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 /**
-    What nodes say to each other about relayed requests: those whose sender gives each
-    of its attempts an id of its own, so that no record is needed to run them once.
+    Messages between nodes about relayed requests. Their senders give each attempt an id
+    of its own, so that nodes need no idempotency records.
 
     @see PeerMessage
 */
@@ -25,20 +25,20 @@
 /** End-to-end header names and values in their order. */
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/** The operators' name of a route. */
+/** Name of a route, as configured. */
 using RouteName = std::string;
 
-/** Tells whether two requests ask for the same thing, see digestOf(). */
+/** Digest by which equivalent requests are recognised, see digestOf(). */
 using ContentDigest = std::uint64_t;
 
-/** Names one life of a target; a restarted target has another. */
+/** Identifies one incarnation of a target. */
 using TargetId = std::string;
 
 //==============================================================================
-/** A request as it passes unchanged from its sender to the target. */
+/** Content of a request, passed on unchanged from its sender to the target. */
 struct RelayContent
 {
-    std::string m_id; /**< the sender's own id of this attempt */
+    std::string m_id; /**< the sender's id of this attempt */
     std::string m_method;
     std::string m_path; /**< with its query */
     HeaderList m_headers;
@@ -52,7 +52,7 @@
     }
 };
 
-/** A target's whole answer, passed back unchanged. */
+/** A target's answer, passed back unchanged. */
 struct RelayedAnswer
 {
     std::uint16_t m_status = 0;
@@ -64,13 +64,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_status, m_headers, m_body); }
 };
 
-/** What became of a relayed request, whoever tells it. */
+/** Result of a relayed request. */
 struct RelayResult
 {
     Outcome m_outcome = Outcome::unknown;
-    Reason m_reason = Reason::none; /**< why there is no target's answer */
-    RelayedAnswer m_answer;         /**< where the outcome is completed */
-    Duration m_retryAfter {};       /**< after a refusal: when to ask again; 0: not said */
+    Reason m_reason = Reason::none; /**< why the target did not answer */
+    RelayedAnswer m_answer;         /**< valid if the outcome is completed */
+    Duration m_retryAfter {};       /**< after a rejection: delay before a retry; 0: unspecified */
 
     auto operator<=> (const RelayResult&) const = default;
 
@@ -81,15 +81,15 @@
 };
 
 //==============================================================================
-/** How busy the gate in front of a target is. */
+/** State and load of the gate in front of a target. */
 struct GateStatus
 {
-    bool m_isOpen = false;                /**< takes new work */
-    std::uint32_t m_limit = 0;            /**< requests that the target may run at a time */
-    std::uint32_t m_inGate = 0;           /**< requests that run or wait */
-    Duration m_queuedWork {};             /**< slot time that the waiting requests will take */
-    std::uint16_t m_failurePermille = 0;  /**< of the target's recent answers */
-    std::uint16_t m_admittedPermille = 0; /**< of the order of refusal, from its most important end */
+    bool m_isOpen = false;                /**< accepts new requests */
+    std::uint32_t m_limit = 0;            /**< maximum number of requests that the target runs concurrently */
+    std::uint32_t m_inGate = 0;           /**< running and queued requests */
+    Duration m_queuedWork {};             /**< expected slot time of the queued requests */
+    std::uint16_t m_failurePermille = 0;  /**< share of failures in the target's recent answers */
+    std::uint16_t m_admittedPermille = 0; /**< admission level: lower shed ranks are admitted */
 
     auto operator<=> (const GateStatus&) const = default;
 
@@ -99,7 +99,7 @@
     }
 };
 
-/** How long requests of one route take at a target, moving average. */
+/** Moving average of the time that requests of a route take at a target. */
 struct RouteTime
 {
     RouteName m_route;
@@ -110,13 +110,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_route, m_time); }
 };
 
-/** How often requests of one route make calls on another. */
+/** Rate of calls that requests of one route make to another route. */
 struct CallEdge
 {
     RouteName m_caller;
     RouteName m_callee;
     ServiceName m_service;             /**< the callee's */
-    std::uint32_t m_callsPermille = 0; /**< calls for each thousand requests of the caller */
+    std::uint32_t m_callsPermille = 0; /**< calls per thousand requests of the calling route */
 
     auto operator<=> (const CallEdge&) const = default;
 
@@ -127,27 +127,27 @@
 };
 
 //==============================================================================
-/** Asks the receiver to run a request at its own target. */
+/** Requests that the receiver run a request at its local target. */
 struct RelayRequest
 {
     CallId m_callId = 0;
     RelayContent m_content;
-    ServiceName m_service;       /**< that the target must belong to */
-    ServiceName m_callerService; /**< of the instance where the request began */
+    ServiceName m_service;       /**< service to which the target must belong */
+    ServiceName m_callerService; /**< service of the instance at which the request arrived */
     RouteName m_route;
-    OrganisationName m_organisation;       /**< that the request's key belongs to; empty: it needs none */
-    ContentDigest m_digest = 0;            /**< of what it asks */
-    std::optional<Duration> m_keyValidFor; /**< it may not begin to run later than this after it was sent;
-                                              nullopt: no such bound */
-    std::uint16_t m_effectivePriority = 0; /**< the smaller, the sooner run */
-    bool m_isRetry = false;     /**< it, or a request that it is a call of, was sent to a target before */
-    bool m_isNested = false;    /**< a call made by a target for a request that runs already */
-    Duration m_chainAge {};     /**< since the request at the head of the chain came to its entry */
-    Duration m_timeLeft {};     /**< until nobody waits for the answer, when this was sent */
-    Duration m_maxQueueTime {}; /**< it is refused rather than kept waiting longer for a slot */
+    OrganisationName m_organisation;       /**< owner of the API key; empty if the route requires none */
+    ContentDigest m_digest = 0;            /**< see digestOf() */
+    std::optional<Duration> m_keyValidFor; /**< time from sending within which it must start to run;
+                                              nullopt: unbounded */
+    std::uint16_t m_effectivePriority = 0; /**< smaller values are run first */
+    bool m_isRetry = false;  /**< it, or a request above it in the chain, has been sent to a target before */
+    bool m_isNested = false; /**< call by a target for a request that it is running */
+    Duration m_chainAge {};  /**< since the first request of the chain arrived at its entry */
+    Duration m_timeLeft {};  /**< until the deadline, at the time of sending */
+    Duration m_maxQueueTime {}; /**< it is rejected if it would be queued for longer */
     Duration
-        m_maxQueueTimeOfNewChain {}; /**< the same, where nothing of its chain has run at the target yet */
-    Duration m_sentAt {};            /**< by the sender's steady clock; tells how long this was under way */
+        m_maxQueueTimeOfNewChain {}; /**< the same, if no request of its chain has run at the target yet */
+    Duration m_sentAt {};            /**< on the sender's steady clock; used to estimate the transit time */
 
     auto operator<=> (const RelayRequest&) const = default;
 
@@ -165,8 +165,8 @@
     CallId m_callId = 0;
     RelayResult m_result;
     GateStatus m_gate;
-    Duration m_routeTime {};            /**< of the request's route at this target; 0: not known */
-    ConfigurationVersion m_version = 0; /**< in force at the sender */
+    Duration m_routeTime {};            /**< average time of the request's route at this target; 0: unknown */
+    ConfigurationVersion m_version = 0; /**< configuration in force at the sender */
 
     auto operator<=> (const RelayAnswer&) const = default;
 
@@ -176,7 +176,7 @@
     }
 };
 
-/** The sender of a RelayRequest no longer waits. */
+/** Cancels a RelayRequest. */
 struct RelayCancel
 {
     CallId m_callId = 0;
@@ -186,15 +186,15 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_callId); }
 };
 
-/** Rises when the store comes back from an older copy of itself: offsets are given out again, and what was
-   written since the copy is gone. */
+/** Incremented when the store is restored from a backup: records written since the backup are lost, and their
+    offsets are reused. */
 using StoreEra = std::uint64_t;
 
-/** A place in a topic of the store. All places of a later era come after those of the ones before. */
+/** A position in a topic of the store, ordered by era, then by offset. */
 struct StorePlace
 {
     StoreEra m_era = 0;
-    LogOffset m_offset = -1; /**< -1: not known */
+    LogOffset m_offset = -1; /**< -1: unknown */
 
     auto operator<=> (const StorePlace&) const = default;
 
@@ -203,12 +203,12 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_era, m_offset); }
 };
 
-/** What a node has of the platform's store. */
+/** A node's state of synchronisation with the platform's store. */
 struct StoreView
 {
-    StorePlace m_membersEnd;    /**< it knows all records of members before this place */
-    bool m_isFollowing = false; /**< it reads the store itself, and tells others what it reads */
-    bool m_isReached = true;    /**< false: the store does not answer it */
+    StorePlace m_membersEnd;    /**< all member records before this position are known */
+    bool m_isFollowing = false; /**< whether it reads from the store itself and sends updates to its peers */
+    bool m_isReached = true;    /**< whether the store answers this node */
 
     auto operator<=> (const StoreView&) const = default;
 
@@ -218,17 +218,17 @@
     }
 };
 
-/** Says who the sender is and how its gate is; answered by PeerStatus. Sent where neither has heard of the
-    other's gate lately. */
+/** Heartbeat with the sender's member data and gate status; answered by PeerStatus. Sent if the two nodes
+   have not exchanged their gate status recently. */
 struct PeerHello
 {
     Member m_member;
     ConfigurationVersion m_version = 0;
     GateStatus m_gate;
-    Duration m_sentAt {};        /**< by the sender's steady clock */
-    bool m_asksForCalls = false; /**< the answer is to tell the calls that were seen */
+    Duration m_sentAt {};        /**< on the sender's steady clock */
+    bool m_asksForCalls = false; /**< whether the answer is to include PeerStatus::m_calls */
     StoreView m_store;
-    std::uint64_t m_crashes = 0; /**< digest of the crashes that it remembers; 0: none */
+    std::uint64_t m_crashes = 0; /**< digest of the stored crash reports; 0: none */
 
     auto operator<=> (const PeerHello&) const = default;
 
@@ -238,16 +238,16 @@
     }
 };
 
-/** What a node's gate and configuration are at; answers PeerHello, and is sent when the gate opens or shuts.
- */
+/** A node's gate status and configuration version; answers PeerHello, and is sent when the gate opens or
+    closes. */
 struct PeerStatus
 {
     ConfigurationVersion m_version = 0;
     GateStatus m_gate;
-    std::vector<RouteTime> m_times;               /**< at the own target */
-    std::optional<std::vector<CallEdge>> m_calls; /**< seen at the own target; where they were asked for */
+    std::vector<RouteTime> m_times;               /**< at the sender's target */
+    std::optional<std::vector<CallEdge>> m_calls; /**< of the sender's target; only if requested */
     StoreView m_store;
-    std::uint64_t m_crashes = 0; /**< digest of the crashes that it remembers; 0: none */
+    std::uint64_t m_crashes = 0; /**< digest of the stored crash reports; 0: none */
 
     auto operator<=> (const PeerStatus&) const = default;
 
@@ -258,10 +258,10 @@
 };
 
 //==============================================================================
-/** Asks for the members that changed since the asker's view of the store. */
+/** Requests the members that changed since the sender's position in the store. */
 struct MembersPull
 {
-    StorePlace m_have; /**< the asker's StoreView::m_membersEnd */
+    StorePlace m_have; /**< the sender's StoreView::m_membersEnd */
 
     auto operator<=> (const MembersPull&) const = default;
 
@@ -273,7 +273,7 @@
 {
     std::vector<Member> m_members;
     std::vector<InstanceName> m_withdrawn;
-    StorePlace m_end; /**< the teller's StoreView::m_membersEnd */
+    StorePlace m_end; /**< the sender's StoreView::m_membersEnd */
 
     auto operator<=> (const MembersTold&) const = default;
 
@@ -281,7 +281,7 @@
 };
 
 //==============================================================================
-/** Asks for the routes in force at the receiver, if they are newer. */
+/** Requests the routes in force at the receiver, if they are newer. */
 struct RoutesPull
 {
     ConfigurationVersion m_have = 0;
@@ -291,7 +291,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_have); }
 };
 
-/** A version of the routes as its operators wrote it. */
+/** Source text of a version of the routes. */
 struct RoutesText
 {
     std::string m_text;
@@ -302,23 +302,23 @@
 };
 
 //==============================================================================
-/** Asks up to when the receiver knows that no newer configuration was written than the one it has. */
+/** Asks for the receiver's latest proof that its configuration is the newest. */
 struct ProofQuestion
 {
-    Duration m_askedAt {}; /**< by the asker's clock; comes back with the answer */
+    Duration m_askedAt {}; /**< on the sender's clock; returned in the answer */
 
     auto operator<=> (const ProofQuestion&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_askedAt); }
 };
 
-/** Answers ProofQuestion. The asker subtracts the age from when it asked, so that the whole way there and
-   back counts, however long the answer lay somewhere. */
+/** Answers ProofQuestion. The receiver subtracts the age from m_askedAt, so that the result never overstates
+   how recent the proof is, however long the answer was delayed. */
 struct ProofAnswer
 {
-    Duration m_askedAt {};              /**< the question's */
-    ConfigurationVersion m_version = 0; /**< in force at the sender */
-    Duration m_age {};                  /**< so long ago no newer version had been written */
+    Duration m_askedAt {};              /**< copied from the question */
+    ConfigurationVersion m_version = 0; /**< configuration in force at the sender */
+    Duration m_age {};                  /**< time since this version was last known to be the newest */
 
     auto operator<=> (const ProofAnswer&) const = default;
 
@@ -326,10 +326,10 @@
 };
 
 //==============================================================================
-/** Asks the node that counts an organisation's requests whether one more is within its limit. */
+/** Asks the node that counts an organisation's requests to admit one request under its rate limit. */
 struct LimitQuestion
 {
-    CallId m_question = 0; /**< the asker's own number */
+    CallId m_question = 0; /**< assigned by the sender */
     OrganisationName m_organisation;
 
     auto operator<=> (const LimitQuestion&) const = default;
@@ -341,7 +341,7 @@
 {
     within, /**< the request is counted */
     beyond,
-    unknown /**< the node does not know the organisation, or nobody could be asked */
+    unknown /**< the organisation is unknown, or no node could be asked */
 };
 
 /** Answers LimitQuestion. */
@@ -349,7 +349,7 @@
 {
     CallId m_question = 0;
     LimitVerdict m_verdict = LimitVerdict::unknown;
-    Duration m_wait {}; /**< where it is beyond: until a request would be within */
+    Duration m_wait {}; /**< if beyond: time until a request would be within the limit */
 
     auto operator<=> (const LimitAnswer&) const = default;
 
--- a/modules/plankledge_core/Time.h
+++ b/modules/plankledge_core/Time.h
@@ -11,10 +11,10 @@
 
 //==============================================================================
 /**
-    The boot-time clock: it goes on while the machine is suspended, so a frozen
-    process that wakes sees how long it was away.
+    The boot-time clock. It includes the time for which the machine is suspended, so that a
+    process can detect pauses.
 
-    Decisions never read it; the driver stamps it on every event.
+    Decision code does not read it: the driver adds the current time to every event.
 */
 struct BootClock
 {
@@ -25,16 +25,17 @@
 
     static constexpr bool is_steady = true;
 
-    /** @returns microseconds since the machine started (CLOCK_BOOTTIME) */
+    /** @returns the time since boot, in microseconds (CLOCK_BOOTTIME) */
     static time_point now() noexcept;
 };
 
 using Time = BootClock::time_point;
 
-/** Tells the time; tests move it apart from the clock by which timers run, as a suspended machine does. */
+/** Returns the current time. Tests replace it to simulate a suspended machine, whose timers stand still while
+    this clock advances. */
 using TimeSource = std::function<Time()>;
 
-/** Rounds to whole milliseconds for headers and logs. */
+/** Truncates to whole milliseconds, for headers and logs. */
 constexpr long long toMilliseconds (Duration duration) noexcept
 {
     return std::chrono::duration_cast<Milliseconds> (duration).count();
--- a/modules/plankledge_core/plankledge_core.h
+++ b/modules/plankledge_core/plankledge_core.h
@@ -1,7 +1,7 @@
 /*  BEGIN MODULE
     name:          plankledge_core
-    description:   Values every other module shares: identities, time, outcomes, declarations, peer messages,
-                   and the JSON-lines logger.
+    description:   Types shared by all modules: identities, time, outcomes, declarations and peer messages;
+                   the JSON-lines logger.
     dependencies:  none
     END MODULE */
 
