--- a/modules/plankledge_wire/BoundedArchive.h
+++ b/modules/plankledge_wire/BoundedArchive.h
@@ -16,7 +16,7 @@
 {
 
 //==============================================================================
-/** A cereal output archive that appends to a string; numbers in the machine's little-endian form. */
+/** A cereal output archive that appends to a string; numbers are in native, little-endian byte order. */
 class StringOutputArchive : public cereal::OutputArchive<StringOutputArchive, cereal::AllowEmptyClassElision>
 {
 public:
@@ -39,13 +39,12 @@
 
 //==============================================================================
 /**
-    A cereal input archive over bytes from outside.
+    A cereal input archive for untrusted bytes.
 
-    A container's size is checked against the bytes that are left before any
-    memory is taken for it: an element takes at least one byte, so a larger
-    claim can't be true.
+    The encoded size of a container is checked against the remaining bytes before memory is
+    allocated: each element takes at least one byte.
 
-    Throws cereal::Exception on truncated or impossible input.
+    Throws cereal::Exception on truncated input and on impossible container sizes.
 */
 class BoundedInputArchive : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>
 {
@@ -66,11 +65,11 @@
         m_bytes.remove_prefix (size);
     }
 
-    /** Checks a container's claimed size. */
-    void checkSize (cereal::size_type claimed) const
+    /** Throws if a container of this many elements can't fit the remaining bytes. */
+    void checkSize (cereal::size_type count) const
     {
-        if (claimed > m_bytes.size())
-            throw cereal::Exception ("impossible container size");
+        if (count > m_bytes.size())
+            throw cereal::Exception ("container size exceeds the remaining bytes");
     }
 
     std::size_t remaining() const noexcept { return m_bytes.size(); }
@@ -81,7 +80,7 @@
 };
 
 //==============================================================================
-// The functions that cereal looks up by argument type.
+// Overloads found by cereal through argument-dependent lookup.
 template <class T>
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_SAVE_FUNCTION_NAME (StringOutputArchive& archive,
                                                                      const T& value)
@@ -140,7 +139,7 @@
 namespace plankledge
 {
 
-/** Encodes any value that lists its fields for cereal. */
+/** Encodes any type that cereal can serialise. */
 template <class Value> std::string encode (const Value& value)
 {
     std::string bytes;
--- a/modules/plankledge_wire/FrameCodec.cpp
+++ b/modules/plankledge_wire/FrameCodec.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** The version comes first so that it can be judged before anything else is read. */
+/** The version is the first field, so that it can be checked before the rest is decoded. */
 absl::StatusOr<std::uint16_t> decodeVersion (std::string_view bytes)
 {
     std::uint16_t version = 0;
@@ -26,7 +26,7 @@
     return version;
 }
 
-template <class Value> absl::StatusOr<Value> decodeWhole (std::string_view bytes)
+template <class Value> absl::StatusOr<Value> decodeExactly (std::string_view bytes)
 {
     try
     {
@@ -39,13 +39,13 @@
 
         return value;
     }
-    catch (const std::exception&) // cereal and the containers throw their own types
+    catch (const std::exception&) // cereal and the standard containers throw different types
     {
         return toStatus (WireError::malformed);
     }
 }
 
-/** @returns whether every enumerator that came over the wire is one we know */
+/** @returns whether the decoded enumerators are in range */
 bool isValid (const Member& member) noexcept
 {
     return member.m_state <= MemberState::leaving;
@@ -145,7 +145,7 @@
     if (const auto version = decodeVersion (payload); ! version.ok())
         return version.status();
 
-    auto frame = decodeWhole<Frame> (payload);
+    auto frame = decodeExactly<Frame> (payload);
 
     if (! frame.ok())
         return frame;
@@ -181,7 +181,7 @@
     if (const auto version = decodeVersion (datagram); ! version.ok())
         return version.status();
 
-    auto decoded = decodeWhole<Datagram> (datagram);
+    auto decoded = decodeExactly<Datagram> (datagram);
 
     if (! decoded.ok())
         return decoded.status();
--- a/modules/plankledge_wire/FrameCodec.h
+++ b/modules/plankledge_wire/FrameCodec.h
@@ -9,20 +9,20 @@
 namespace plankledge
 {
 
-/** The version of the protocol between nodes; a peer of another version is refused. */
+/** Version of the protocol between nodes. Frames and datagrams of other versions are rejected. */
 inline constexpr std::uint16_t protocolVersion = 3;
 
-/** No frame is longer; a longer claim ends the connection. */
+/** Maximum size of a frame's payload, in bytes; a larger encoded length closes the connection. */
 inline constexpr std::uint32_t maximumFrameBytes = 4U << 20U;
 
-/** No datagram is longer; fits one Ethernet packet. */
+/** Maximum size of a datagram, in bytes; fits into one Ethernet frame. */
 inline constexpr std::size_t maximumDatagramBytes = 1400;
 
-/** A frame's length comes first, in 4 bytes. */
+/** Size of the header in front of a frame, in bytes: the payload's length. */
 inline constexpr std::size_t frameHeaderBytes = 4;
 
 //==============================================================================
-/** A message with who sent it and whom it is for. */
+/** A message with its sender and receiver. */
 struct Frame
 {
     std::uint16_t m_version = protocolVersion;
@@ -38,7 +38,7 @@
     }
 };
 
-/** @returns the frame's bytes, its length in front */
+/** @returns the encoded frame, with its header */
 std::string encodeFrame (const Frame& frame);
 
 /** @returns the length of the frame's payload, or WireError::tooLarge */
@@ -46,12 +46,12 @@
 
 /** Decodes a payload.
 
-    @param receiver   this node's instance; a frame for another is refused
+    @param receiver   this node's instance; frames for other instances are rejected
     @returns the frame, or a WireError as a status
 */
 absl::StatusOr<Frame> decodeFrame (std::string_view payload, const InstanceName& receiver);
 
-/** @returns the datagram's bytes; news that does not fit is left out */
+/** @returns the encoded datagram; updates that exceed maximumDatagramBytes are omitted */
 std::string encodeRumour (Rumour rumour);
 
 /** @returns the rumour, or a WireError as a status */
--- a/modules/plankledge_wire/WireError.h
+++ b/modules/plankledge_wire/WireError.h
@@ -7,7 +7,7 @@
 namespace plankledge
 {
 
-/** What can be wrong with bytes from a peer; one counter each. */
+/** Errors in frames and datagrams from peers; each has a counter. */
 enum class WireError : std::uint8_t
 {
     tooLarge,
@@ -25,7 +25,7 @@
 /** @returns an invalid-argument status that carries the error as its payload */
 absl::Status toStatus (WireError error);
 
-/** @returns the error carried by a status that toStatus made; malformed for any other */
+/** @returns the error of a status created by toStatus; malformed for any other status */
 WireError wireErrorOf (const absl::Status& status);
 
 } // namespace plankledge
--- a/modules/plankledge_wire/plankledge_wire.h
+++ b/modules/plankledge_wire/plankledge_wire.h
@@ -1,7 +1,6 @@
 /*  BEGIN MODULE
     name:          plankledge_wire
-    description:   Bytes between nodes: bounded cereal codec for frames and datagrams, and the
-                   caller's headers.
+    description:   Bounds-checked cereal codec for the frames and datagrams between nodes.
     dependencies:  plankledge_core
     END MODULE */
 
