--- a/modules/plankledge_formats/DeclarationsJson.cpp
+++ b/modules/plankledge_formats/DeclarationsJson.cpp
@@ -14,100 +14,100 @@
 namespace
 {
 
-constexpr std::size_t longestName = 64;
-constexpr std::size_t mostServices = 1000;
-constexpr std::int64_t mostSlots = 100000;
-constexpr std::int64_t longestWaitMs = 60000;
-constexpr std::int64_t longestRecordWindowMs = 3600000;
-constexpr std::int64_t mostRetries = 100;
+constexpr std::size_t maxNameLength = 64;
+constexpr std::size_t maxServices = 1000;
+constexpr std::int64_t maxSlots = 100000;
+constexpr std::int64_t maxWaitMs = 60000;
+constexpr std::int64_t maxRecordWindowMs = 3600000;
+constexpr std::int64_t maxRetries = 100;
 
 //==============================================================================
-/** Walks a JSON tree and collects faults with their places. */
+/** Reads values of a JSON tree and collects errors with their paths. */
 class Reader
 {
 public:
     std::vector<DeclarationFault> m_faults;
 
-    void fault (const std::string& place, DeclarationError error) { m_faults.push_back ({ place, error }); }
+    void fault (const std::string& path, DeclarationError error) { m_faults.push_back ({ path, error }); }
 
-    const json::object* object (const json::value& value, const std::string& place)
+    const json::object* object (const json::value& value, const std::string& path)
     {
         if (const auto* result = value.if_object())
             return result;
 
-        fault (place, DeclarationError::wrongType);
+        fault (path, DeclarationError::wrongType);
         return nullptr;
     }
 
-    void onlyFields (const json::object& object, const std::string& place,
-                     const std::set<std::string_view>& known)
+    void rejectUnknownFields (const json::object& object, const std::string& path,
+                              const std::set<std::string_view>& known)
     {
         for (const auto& entry : object)
             if (! known.contains (std::string_view (entry.key().data(), entry.key().size())))
-                fault (join (place, entry.key()), DeclarationError::unknownField);
+                fault (join (path, entry.key()), DeclarationError::unknownField);
     }
 
-    std::int64_t integer (const json::object& object, const std::string& place, std::string_view field,
-                          std::int64_t lowest, std::int64_t highest, std::int64_t otherwise)
+    std::int64_t integer (const json::object& object, const std::string& path, std::string_view field,
+                          std::int64_t min, std::int64_t max, std::int64_t defaultValue)
     {
         const auto* value = object.if_contains (json::string_view (field.data(), field.size()));
 
         if (value == nullptr)
-            return otherwise;
+            return defaultValue;
 
         if (! value->is_int64())
         {
-            fault (join (place, field), DeclarationError::wrongType);
-            return otherwise;
+            fault (join (path, field), DeclarationError::wrongType);
+            return defaultValue;
         }
 
-        if (value->as_int64() < lowest || value->as_int64() > highest)
-            fault (join (place, field), DeclarationError::outOfRange);
+        if (value->as_int64() < min || value->as_int64() > max)
+            fault (join (path, field), DeclarationError::outOfRange);
 
         return value->as_int64();
     }
 
-    bool isName (std::string_view name, const std::string& place, bool mayHaveSlash)
+    bool checkName (std::string_view name, const std::string& path, bool allowWildcardPath)
     {
-        const auto isAllowed = [mayHaveSlash] (char character) {
+        const auto isAllowed = [allowWildcardPath] (char character) {
             const auto byte = static_cast<unsigned char> (character);
             return std::isalnum (byte) != 0 || character == '-' || character == '_' || character == '.' ||
-                   (mayHaveSlash && (character == '/' || character == '*'));
+                   (allowWildcardPath && (character == '/' || character == '*'));
         };
 
-        const bool isValid =
-            ! name.empty() && name.size() <= longestName && std::all_of (name.begin(), name.end(), isAllowed);
+        const bool isValid = ! name.empty() && name.size() <= maxNameLength &&
+                             std::all_of (name.begin(), name.end(), isAllowed);
 
         if (! isValid)
-            fault (place, DeclarationError::badName);
+            fault (path, DeclarationError::badName);
 
         return isValid;
     }
 
-    static std::string join (const std::string& place, std::string_view field)
+    static std::string join (const std::string& path, std::string_view field)
     {
-        return place.empty() ? std::string (field) : fmt::format ("{}.{}", place, field);
+        return path.empty() ? std::string (field) : fmt::format ("{}.{}", path, field);
     }
 };
 
 //==============================================================================
-PriorityClass readClass (Reader& reader, const json::object& object, const std::string& place)
+PriorityClass readClass (Reader& reader, const json::object& object, const std::string& path)
 {
     constexpr std::array classes { PriorityClass::critical, PriorityClass::high, PriorityClass::normal,
                                    PriorityClass::low };
 
     const auto* value = object.if_contains ("class");
-    const auto fieldPlace = Reader::join (place, "class");
+    const auto fieldPath = Reader::join (path, "class");
 
     if (value == nullptr)
     {
-        reader.fault (fieldPlace, DeclarationError::missingField);
+        reader.fault (fieldPath, DeclarationError::missingField);
         return PriorityClass::normal;
     }
 
     if (! value->is_string())
     {
-        reader.fault (fieldPlace, DeclarationError::wrongType);
+        reader.fault (fieldPath, DeclarationError::wrongType);
         return PriorityClass::normal;
     }
 
@@ -117,89 +117,89 @@
         if (nameOf (candidate) == std::string_view (text.data(), text.size()))
             return candidate;
 
-    reader.fault (fieldPlace, DeclarationError::unknownClass);
+    reader.fault (fieldPath, DeclarationError::unknownClass);
     return PriorityClass::normal;
 }
 
-bool readRepeatable (Reader& reader, const json::object& object, const std::string& place)
+bool readRepeatable (Reader& reader, const json::object& object, const std::string& path)
 {
     const auto* value = object.if_contains ("repeatable");
 
     if (value == nullptr)
     {
-        // Whether work may be repeated is never guessed.
-        reader.fault (Reader::join (place, "repeatable"), DeclarationError::missingField);
+        // Required, since a default could run a request twice.
+        reader.fault (Reader::join (path, "repeatable"), DeclarationError::missingField);
         return false;
     }
 
     if (! value->is_bool())
     {
-        reader.fault (Reader::join (place, "repeatable"), DeclarationError::wrongType);
+        reader.fault (Reader::join (path, "repeatable"), DeclarationError::wrongType);
         return false;
     }
 
     return value->as_bool();
 }
 
-OperationDeclaration readOperation (Reader& reader, const json::value& value, const std::string& place)
+OperationDeclaration readOperation (Reader& reader, const json::value& value, const std::string& path)
 {
     OperationDeclaration operation;
-    const auto* object = reader.object (value, place);
+    const auto* object = reader.object (value, path);
 
     if (object == nullptr)
         return operation;
 
-    reader.onlyFields (*object, place,
-                       { "class", "repeatable", "longest_wait_ms", "retry_budget", "record_window_ms" });
-    operation.m_class = readClass (reader, *object, place);
-    operation.m_isRepeatable = readRepeatable (reader, *object, place);
-    operation.m_longestWait = Milliseconds (reader.integer (*object, place, "longest_wait_ms", 1,
-                                                            longestWaitMs, operation.m_longestWait.count()));
+    reader.rejectUnknownFields (
+        *object, path, { "class", "repeatable", "longest_wait_ms", "retry_budget", "record_window_ms" });
+    operation.m_class = readClass (reader, *object, path);
+    operation.m_isRepeatable = readRepeatable (reader, *object, path);
+    operation.m_longestWait = Milliseconds (
+        reader.integer (*object, path, "longest_wait_ms", 1, maxWaitMs, operation.m_longestWait.count()));
     operation.m_retryBudget = static_cast<std::uint32_t> (
-        reader.integer (*object, place, "retry_budget", 0, mostRetries, operation.m_retryBudget));
+        reader.integer (*object, path, "retry_budget", 0, maxRetries, operation.m_retryBudget));
     operation.m_recordWindow = Milliseconds (reader.integer (
-        *object, place, "record_window_ms", 1000, longestRecordWindowMs, operation.m_recordWindow.count()));
+        *object, path, "record_window_ms", 1000, maxRecordWindowMs, operation.m_recordWindow.count()));
     return operation;
 }
 
-ServiceDeclaration readService (Reader& reader, const json::value& value, const std::string& place)
+ServiceDeclaration readService (Reader& reader, const json::value& value, const std::string& path)
 {
     ServiceDeclaration service;
-    const auto* object = reader.object (value, place);
+    const auto* object = reader.object (value, path);
 
     if (object == nullptr)
         return service;
 
-    reader.onlyFields (*object, place, { "slots", "queue_length", "operations" });
+    reader.rejectUnknownFields (*object, path, { "slots", "queue_length", "operations" });
     service.m_slots =
-        static_cast<std::uint32_t> (reader.integer (*object, place, "slots", 1, mostSlots, service.m_slots));
+        static_cast<std::uint32_t> (reader.integer (*object, path, "slots", 1, maxSlots, service.m_slots));
     service.m_queueLength = static_cast<std::uint32_t> (
-        reader.integer (*object, place, "queue_length", 0, mostSlots, std::int64_t { service.m_slots } * 2));
+        reader.integer (*object, path, "queue_length", 0, maxSlots, std::int64_t { service.m_slots } * 2));
 
-    const auto operationsPlace = Reader::join (place, "operations");
+    const auto operationsPath = Reader::join (path, "operations");
     const auto* operationsValue = object->if_contains ("operations");
 
     if (operationsValue == nullptr)
     {
-        reader.fault (operationsPlace, DeclarationError::missingField);
+        reader.fault (operationsPath, DeclarationError::missingField);
         return service;
     }
 
-    const auto* operations = reader.object (*operationsValue, operationsPlace);
+    const auto* operations = reader.object (*operationsValue, operationsPath);
 
     if (operations == nullptr)
         return service;
 
     if (operations->empty())
-        reader.fault (operationsPlace, DeclarationError::empty);
+        reader.fault (operationsPath, DeclarationError::empty);
 
     for (const auto& entry : *operations)
     {
-        const auto entryPlace = Reader::join (operationsPlace, entry.key());
+        const auto entryPath = Reader::join (operationsPath, entry.key());
 
-        if (reader.isName (entry.key(), entryPlace, true))
+        if (reader.checkName (entry.key(), entryPath, true))
             service.m_operations[std::string (entry.key())] =
-                readOperation (reader, entry.value(), entryPlace);
+                readOperation (reader, entry.value(), entryPath);
     }
 
     return service;
@@ -220,15 +220,15 @@
     if (services->empty())
         reader.fault ("services", DeclarationError::empty);
 
-    if (services->size() > mostServices)
+    if (services->size() > maxServices)
         return reader.fault ("services", DeclarationError::tooLarge);
 
     for (const auto& entry : *services)
     {
-        const auto place = Reader::join ("services", entry.key());
+        const auto path = Reader::join ("services", entry.key());
 
-        if (reader.isName (entry.key(), place, false))
-            declarations.m_services[std::string (entry.key())] = readService (reader, entry.value(), place);
+        if (reader.checkName (entry.key(), path, false))
+            declarations.m_services[std::string (entry.key())] = readService (reader, entry.value(), path);
     }
 }
 
@@ -265,7 +265,7 @@
 
     if (const auto* root = reader.object (value, ""))
     {
-        reader.onlyFields (*root, "", { "services" });
+        reader.rejectUnknownFields (*root, "", { "services" });
         readServices (reader, *root, parsed.m_declarations);
     }
 
--- a/modules/plankledge_formats/DeclarationsJson.h
+++ b/modules/plankledge_formats/DeclarationsJson.h
@@ -8,7 +8,7 @@
 namespace plankledge
 {
 
-/** What can be wrong with a set of declarations. */
+/** Validation errors of declarations. */
 enum class DeclarationError : std::uint8_t
 {
     notJson,
@@ -22,37 +22,37 @@
     tooLarge
 };
 
-/** @returns the error's text for an operator, e.g. "unknown field" */
+/** @returns the error message, e.g. "unknown field" */
 std::string_view nameOf (DeclarationError error) noexcept;
 
 //==============================================================================
-/** One fault and where it is. */
+/** A validation error and its location. */
 struct DeclarationFault
 {
-    std::string m_place; /**< e.g. "services.plans.slots" */
+    std::string m_place; /**< path of the JSON value, e.g. "services.plans.slots" */
     DeclarationError m_error = DeclarationError::notJson;
 
     auto operator<=> (const DeclarationFault&) const = default;
 };
 
-/** The declarations, or all their faults. */
+/** Result of parsing: the declarations, or all validation errors. */
 struct ParsedDeclarations
 {
     Declarations m_declarations;
     std::vector<DeclarationFault> m_faults; /**< empty: the declarations are valid */
 };
 
-/** No longer text is read. */
+/** Maximum size of the JSON text, in bytes; longer texts are rejected. */
 inline constexpr std::size_t maximumDeclarationBytes = 1U << 20U;
 
 //==============================================================================
-/** Reads declarations and finds all faults at once.
+/** Parses and validates declarations. All validation errors are collected.
 
     @see docs/CONFIGURATION.md for the fields, their units and ranges
 */
 ParsedDeclarations parseDeclarations (const std::string& text);
 
-/** @returns the declarations if they have no fault */
+/** @returns the declarations, or nullopt if the text is invalid */
 std::optional<Declarations> parseValidDeclarations (const std::string& text);
 
 } // namespace plankledge
--- a/modules/plankledge_formats/PlatformJson.cpp
+++ b/modules/plankledge_formats/PlatformJson.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t longestName = 128;
+constexpr std::size_t maxNameLength = 128;
 
 absl::StatusOr<json::object> parseObject (const std::string& text)
 {
@@ -28,7 +28,7 @@
     return std::move (value.as_object());
 }
 
-/** Reads fields and remembers whether all were there and of the right type. */
+/** Reads fields of an object. A missing field or one of another type makes it invalid. */
 class Fields
 {
 public:
@@ -43,20 +43,20 @@
 
         if (value == nullptr || ! value->is_int64() || value->as_int64() < -1)
         {
-            m_isGood = false;
+            m_isValid = false;
             return 0;
         }
 
         return value->as_int64();
     }
 
-    std::string text (std::string_view name, std::size_t longest)
+    std::string text (std::string_view name, std::size_t maxLength)
     {
         const auto* value = find (name);
 
-        if (value == nullptr || ! value->is_string() || value->as_string().size() > longest)
+        if (value == nullptr || ! value->is_string() || value->as_string().size() > maxLength)
         {
-            m_isGood = false;
+            m_isValid = false;
             return {};
         }
 
@@ -66,18 +66,18 @@
     std::uint16_t port (std::string_view name)
     {
         const auto number = integer (name);
-        m_isGood = m_isGood && number > 0 && number <= 65535;
+        m_isValid = m_isValid && number > 0 && number <= 65535;
         return static_cast<std::uint16_t> (number);
     }
 
     const json::array* array (std::string_view name)
     {
         const auto* value = find (name);
-        m_isGood = m_isGood && value != nullptr && value->is_array();
-        return m_isGood ? &value->as_array() : nullptr;
+        m_isValid = m_isValid && value != nullptr && value->is_array();
+        return m_isValid ? &value->as_array() : nullptr;
     }
 
-    bool isGood() const noexcept { return m_isGood; }
+    bool isValid() const noexcept { return m_isValid; }
 
 private:
     const json::value* find (std::string_view name) const
@@ -86,23 +86,23 @@
     }
 
     const json::object& m_object;
-    bool m_isGood = true;
+    bool m_isValid = true;
 };
 
-absl::StatusOr<ListedInstance> decodeListed (const json::value& value)
+absl::StatusOr<ListedInstance> decodeListedInstance (const json::value& value)
 {
     if (! value.is_object())
         return toStatus (PlatformError::wrongShape);
 
     Fields fields (value.as_object());
     ListedInstance listed;
-    listed.m_instance = fields.text ("instance", longestName);
-    listed.m_service = fields.text ("service", longestName);
-    listed.m_zone = fields.text ("zone", longestName);
-    listed.m_endpoint = { fields.text ("address", longestName), fields.port ("port") };
-    listed.m_isLeaving = fields.text ("state", longestName) == "leaving";
+    listed.m_instance = fields.text ("instance", maxNameLength);
+    listed.m_service = fields.text ("service", maxNameLength);
+    listed.m_zone = fields.text ("zone", maxNameLength);
+    listed.m_endpoint = { fields.text ("address", maxNameLength), fields.port ("port") };
+    listed.m_isLeaving = fields.text ("state", maxNameLength) == "leaving";
 
-    if (! fields.isGood() || listed.m_instance.empty())
+    if (! fields.isValid() || listed.m_instance.empty())
         return toStatus (PlatformError::wrongShape);
 
     return listed;
@@ -141,7 +141,7 @@
     page.m_next = fields.integer ("next");
     const auto* records = fields.array ("records");
 
-    if (! fields.isGood() || page.m_next < page.m_earliest)
+    if (! fields.isValid() || page.m_next < page.m_earliest)
         return toStatus (PlatformError::wrongShape);
 
     for (const auto& value : *records)
@@ -152,7 +152,7 @@
         Fields recordFields (value.as_object());
         LogRecord record { recordFields.integer ("offset"), recordFields.text ("data", std::string::npos) };
 
-        if (! recordFields.isGood())
+        if (! recordFields.isValid())
             return toStatus (PlatformError::wrongShape);
 
         page.m_records.push_back (std::move (record));
@@ -179,7 +179,7 @@
 
     for (const auto& entry : *entries)
     {
-        auto listed = decodeListed (entry);
+        auto listed = decodeListedInstance (entry);
 
         if (! listed.ok())
             return listed.status();
@@ -209,18 +209,18 @@
         return toStatus (PlatformError::badRecord);
 
     Fields fields (*object);
-    const auto kind = fields.text ("kind", longestName);
+    const auto kind = fields.text ("kind", maxNameLength);
     ConfigurationRecord decoded;
     decoded.m_offset = record.m_offset;
     decoded.m_kind =
         kind == "proposal" ? ConfigurationRecordKind::proposal : ConfigurationRecordKind::checkpoint;
-    decoded.m_id = fields.text ("id", longestName);
+    decoded.m_id = fields.text ("id", maxNameLength);
     const auto version = fields.integer ("version");
     decoded.m_version = static_cast<ConfigurationVersion> (version);
     decoded.m_asOfOffset = fields.integer ("as_of");
     decoded.m_text = fields.text ("text", std::string::npos);
 
-    if (! fields.isGood() || version < 0 || (kind != "proposal" && kind != "checkpoint"))
+    if (! fields.isValid() || version < 0 || (kind != "proposal" && kind != "checkpoint"))
         return toStatus (PlatformError::badRecord);
 
     return decoded;
@@ -247,18 +247,18 @@
     Fields fields (*object);
     JoinRecord decoded;
     decoded.m_offset = record.m_offset;
-    const auto kind = fields.text ("kind", longestName);
-    const auto incarnation = fields.text ("incarnation", longestName);
+    const auto kind = fields.text ("kind", maxNameLength);
+    const auto incarnation = fields.text ("incarnation", maxNameLength);
     const auto* end = incarnation.data() + incarnation.size();
     const auto parsed = std::from_chars (incarnation.data(), end, decoded.m_member.m_id.m_incarnation);
-    decoded.m_member.m_id.m_instance = fields.text ("instance", longestName);
-    decoded.m_member.m_service = fields.text ("service", longestName);
-    decoded.m_member.m_zone = fields.text ("zone", longestName);
-    decoded.m_member.m_endpoint = { fields.text ("address", longestName), fields.port ("port") };
+    decoded.m_member.m_id.m_instance = fields.text ("instance", maxNameLength);
+    decoded.m_member.m_service = fields.text ("service", maxNameLength);
+    decoded.m_member.m_zone = fields.text ("zone", maxNameLength);
+    decoded.m_member.m_endpoint = { fields.text ("address", maxNameLength), fields.port ("port") };
 
     const bool isNumber = parsed.ec == std::errc() && parsed.ptr == end;
 
-    if (! fields.isGood() || kind != "join" || ! isNumber || decoded.m_member.m_id.m_instance.empty())
+    if (! fields.isValid() || kind != "join" || ! isNumber || decoded.m_member.m_id.m_instance.empty())
         return toStatus (PlatformError::badRecord);
 
     return decoded;
--- a/modules/plankledge_formats/PlatformJson.h
+++ b/modules/plankledge_formats/PlatformJson.h
@@ -9,7 +9,7 @@
 namespace plankledge
 {
 
-/** What can be wrong with what the platform answers. */
+/** Errors in the platform's answers. */
 enum class PlatformError : std::uint8_t
 {
     notJson,
@@ -25,7 +25,7 @@
 absl::Status toStatus (PlatformError error);
 
 //==============================================================================
-/** A record of any stream, as the log keeps it. */
+/** A record of a stream in the platform's log. */
 struct LogRecord
 {
     LogOffset m_offset = -1;
@@ -34,7 +34,7 @@
     auto operator<=> (const LogRecord&) const = default;
 };
 
-/** One answer of the log to a read. */
+/** The log's answer to a read request. */
 struct LogPage
 {
     LogOffset m_earliest = 0;
@@ -44,7 +44,7 @@
     auto operator<=> (const LogPage&) const = default;
 };
 
-/** Names of the streams that the system keeps on the platform's log. */
+/** Streams of this system in the platform's log. */
 inline constexpr std::string_view configurationStream = "plankledge-configuration";
 inline constexpr std::string_view joinStream = "plankledge-joins";
 
@@ -52,15 +52,15 @@
 /** Decodes `{"earliest":E,"next":N,"records":[{"offset":O,"data":"…"}]}`. */
 absl::StatusOr<LogPage> decodeLogPage (const std::string& text);
 
-/** Decodes `{"instances":[{"instance","service","zone","address","port","state"}]}`; state is live or
- * leaving. */
+/** Decodes `{"instances":[{"instance","service","zone","address","port","state"}]}`.
+    The state is "live" or "leaving". */
 absl::StatusOr<std::vector<ListedInstance>> decodeList (const std::string& text);
 
-/** @returns the data of a configuration record */
+/** @returns the data of a configuration record, as JSON */
 std::string encodeConfigurationRecord (const ConfigurationRecord& record);
 absl::StatusOr<ConfigurationRecord> decodeConfigurationRecord (const LogRecord& record);
 
-/** @returns the data of a join record */
+/** @returns the data of a join record, as JSON */
 std::string encodeJoinRecord (const Member& member);
 absl::StatusOr<JoinRecord> decodeJoinRecord (const LogRecord& record);
 
--- a/modules/plankledge_formats/plankledge_formats.h
+++ b/modules/plankledge_formats/plankledge_formats.h
@@ -1,6 +1,6 @@
 /*  BEGIN MODULE
     name:          plankledge_formats
-    description:   JSON of the platform's log and list, and of operators' declarations.
+    description:   JSON formats of the platform's log and instance list, and of the declarations.
     dependencies:  plankledge_core, plankledge_policy
     END MODULE */
 
