--- a/modules/plankledge_operator/LogExplainer.cpp
+++ b/modules/plankledge_operator/LogExplainer.cpp
@@ -13,16 +13,16 @@
 namespace
 {
 
-constexpr std::string_view serverErrors = "5"; // first digit of their statuses
+constexpr std::string_view serverErrorPrefix = "5"; // first digit of HTTP 5xx status codes
 
 std::string_view rootOf (std::string_view request)
 {
     return request.substr (0, request.find ('.'));
 }
 
-bool isPartOf (std::string_view request, std::string_view whole)
+bool isSameOrNested (std::string_view request, std::string_view parent)
 {
-    return request == whole || (request.starts_with (whole) && request[whole.size()] == '.');
+    return request == parent || (request.starts_with (parent) && request[parent.size()] == '.');
 }
 
 std::string fieldOf (const LoggedEvent& event, const std::string& name)
@@ -34,14 +34,15 @@
 bool isFailure (const LoggedEvent& event)
 {
     if (event.m_event == "request-answered")
-        return fieldOf (event, "status").starts_with (serverErrors);
+        return fieldOf (event, "status").starts_with (serverErrorPrefix);
 
     return event.m_event == "gate-ended" || event.m_event == "gate-refused" ||
            event.m_event == "request-refused" || event.m_event == "request-given-up";
 }
 
-/** How much an event says of the cause: the gate saw the target, the entry only that no answer came. */
-int weightOf (const LoggedEvent& event)
+/** Ranks events by how specific they are about the cause: a gate observes its target's failure, an entry only
+   a missing answer. */
+int specificityOf (const LoggedEvent& event)
 {
     if (event.m_event == "gate-ended")
         return 3;
@@ -52,13 +53,13 @@
     return event.m_event == "request-given-up" ? 1 : 0;
 }
 
-/** Later ones of this order are nearer to the cause. */
-std::tuple<std::ptrdiff_t, int> depthOf (const LoggedEvent& event)
+/** Sort key of failures: the greatest is the closest to the cause. */
+std::tuple<std::ptrdiff_t, int> causeRankOf (const LoggedEvent& event)
 {
-    return { std::count (event.m_request.begin(), event.m_request.end(), '.'), weightOf (event) };
+    return { std::count (event.m_request.begin(), event.m_request.end(), '.'), specificityOf (event) };
 }
 
-std::string placeOf (const LoggedEvent& event)
+std::string locationOf (const LoggedEvent& event)
 {
     for (const auto* name : { "target", "service", "tried" })
         if (auto value = fieldOf (event, name); ! value.empty())
@@ -73,8 +74,8 @@
     return reason.empty() ? "status " + fieldOf (event, "status") : reason;
 }
 
-/** Ended well after a failure that another sending made good. */
-bool isServed (const std::vector<LoggedEvent>& events, std::string_view request)
+/** @returns whether the request was answered successfully, possibly by a retry */
+bool isAnsweredSuccessfully (const std::vector<LoggedEvent>& events, std::string_view request)
 {
     return std::any_of (events.begin(), events.end(), [&] (const LoggedEvent& event) {
         return event.m_request == request && event.m_event == "request-answered" && ! isFailure (event);
@@ -136,7 +137,7 @@
         return events;
 
     for (const auto& event : chain->second)
-        if (isPartOf (event.m_request, request))
+        if (isSameOrNested (event.m_request, request))
             events.push_back (event);
 
     std::stable_sort (events.begin(), events.end(), [] (const LoggedEvent& one, const LoggedEvent& other) {
@@ -148,23 +149,23 @@
 std::optional<FailureCause> LogExplainer::causeOf (std::string_view request) const
 {
     const auto events = eventsOf (request);
-    const LoggedEvent* deepest = nullptr;
+    const LoggedEvent* best = nullptr;
 
     for (const auto& event : events)
     {
-        if (! isFailure (event) || isServed (events, event.m_request))
+        if (! isFailure (event) || isAnsweredSuccessfully (events, event.m_request))
             continue;
 
-        // Of several at one depth the last decided: after the ones before it was sent again.
-        if (deepest == nullptr || depthOf (event) >= depthOf (*deepest))
-            deepest = &event;
+        // Of several equal failures the last one counts, since the earlier ones were retried.
+        if (best == nullptr || causeRankOf (event) >= causeRankOf (*best))
+            best = &event;
     }
 
-    if (deepest == nullptr)
+    if (best == nullptr)
         return std::nullopt;
 
-    return FailureCause { fmt::format ("{} {}", deepest->m_event, reasonOf (*deepest)), placeOf (*deepest),
-                          deepest->m_request, *deepest };
+    return FailureCause { fmt::format ("{} {}", best->m_event, reasonOf (*best)), locationOf (*best),
+                          best->m_request, *best };
 }
 
 std::map<std::string, std::size_t> LogExplainer::failuresByCause() const
--- a/modules/plankledge_operator/LogExplainer.h
+++ b/modules/plankledge_operator/LogExplainer.h
@@ -10,33 +10,34 @@
 namespace plankledge
 {
 
-/** A line of a node's log. */
+/** An event from a node's log. */
 struct LoggedEvent
 {
     std::string m_time; /**< UTC, sortable */
     std::string m_instance;
     std::string m_event;
-    std::string m_request;                       /**< empty: not about one */
-    std::map<std::string, std::string> m_fields; /**< the others, by name */
+    std::string m_request;                       /**< the request's id; empty if the event concerns none */
+    std::map<std::string, std::string> m_fields; /**< remaining fields, by name */
 
     auto operator<=> (const LoggedEvent&) const = default;
 };
 
-/** What made a request fail, as far as the logs show it. */
+/** The cause of a request's failure, as derived from the logs. */
 struct FailureCause
 {
-    std::string m_what;    /**< the event and its reason, "gate-ended target-broken" */
-    std::string m_where;   /**< a target, service or instance; empty: not known */
-    std::string m_request; /**< the request of the chain in which it began */
-    LoggedEvent m_event;   /**< that tells it */
+    std::string m_what;    /**< the event and its reason, e.g. "gate-ended target-broken" */
+    std::string m_where;   /**< a target, service or instance; empty: unknown */
+    std::string m_request; /**< the request of the chain that failed first */
+    LoggedEvent m_event;   /**< the event from which the cause was derived */
 
     auto operator<=> (const FailureCause&) const = default;
 };
 
 //==============================================================================
 /**
-    Puts the logs of several nodes together and tells a request's life and the cause of its
-    failure. Chains are followed by the ids of requests, where those show them.
+    Merges the logs of several nodes to show the events of a request and the cause of its
+    failure. The calls of a chain are found by request ids: a call's id is its parent's id, a dot
+    and a suffix.
 
     @see docs/LOGS.md
 */
@@ -44,30 +45,30 @@
 {
 public:
     //==============================================================================
-    /** Takes in a line; what stands before its JSON object is passed over.
+    /** Adds a log line. Text in front of its JSON object is skipped.
 
-        @returns whether it held an event
+        @returns whether the line contained an event
     */
     bool add (std::string_view line);
 
-    /** @returns what the logs tell of a request and the calls below it, in order of time */
+    /** @returns the events of a request and of the calls made for it, in chronological order */
     std::vector<LoggedEvent> eventsOf (std::string_view request) const;
 
-    /** @returns where the failure of a request began: the deepest request of its chain that failed, and
-        the gate's word rather than the entry's; nullopt where the logs show none
+    /** @returns the cause of a request's failure: the event of the deepest failed request of its chain, a
+       gate's event being preferred to an entry's; nullopt if the logs contain no failure
     */
     std::optional<FailureCause> causeOf (std::string_view request) const;
 
-    /** @returns how many chains failed, by cause */
+    /** @returns the number of failed chains for each cause */
     std::map<std::string, std::size_t> failuresByCause() const;
 
-    /** @returns an event as a line for people */
+    /** @returns an event as a human-readable line */
     static std::string describe (const LoggedEvent& event);
 
 private:
     //==============================================================================
     std::map<std::string, std::vector<LoggedEvent>, std::less<>>
-        m_chains; /**< by the id of the first request */
+        m_chains; /**< keyed by the id of the chain's first request */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_operator/Publisher.cpp
+++ b/modules/plankledge_operator/Publisher.cpp
@@ -16,17 +16,17 @@
 std::string_view nameOf (PublishError error) noexcept
 {
     constexpr std::array<std::string_view, 3> names {
-        "the log can't be reached; whether the version was accepted is not known",
-        "the log no longer keeps the version in force; give a node's address",
-        "no verdict in time; whether the version was accepted is not known",
+        "the log is unreachable; whether the version was accepted is unknown",
+        "the log no longer contains the version in force; specify a node's address",
+        "timed out waiting for the verdict; whether the version was accepted is unknown",
     };
     return names.at (static_cast<std::size_t> (error));
 }
 
 absl::Status toStatus (PublishError error)
 {
-    const auto code = error == PublishError::cannotJudge ? absl::StatusCode::kFailedPrecondition
-                                                         : absl::StatusCode::kUnavailable;
+    const auto code = error == PublishError::versionNotRetained ? absl::StatusCode::kFailedPrecondition
+                                                                : absl::StatusCode::kUnavailable;
     auto status = absl::Status (code, std::string (nameOf (error)));
     status.SetPayload ("plankledge/publish-error", absl::Cord (std::string (1, static_cast<char> (error))));
     return status;
@@ -69,7 +69,7 @@
         return status;
 
     if (! m_judge.canJudge())
-        return toStatus (PublishError::cannotJudge);
+        return toStatus (PublishError::versionNotRetained);
 
     return m_judge.state();
 }
@@ -90,14 +90,14 @@
 
     for (int round = 0;; ++round)
     {
-        // An append whose answer was lost may have taken effect: only reading back tells.
-        const bool isDue = round % readsPerAppend == 0;
+        // An append whose answer was lost may have taken effect, so the log is read before a retry.
+        const bool isAppendDue = round % readsPerAppend == 0;
 
-        if (isDue)
+        if (isAppendDue)
             (void)m_hooks.m_append (data);
 
         if (readToEnd().ok())
-            if (auto verdict = verdictOn (id))
+            if (auto verdict = findVerdict (id))
                 return *std::move (verdict);
 
         if (! m_hooks.m_pause())
@@ -105,7 +105,7 @@
     }
 }
 
-std::optional<JudgedProposal> Publisher::verdictOn (const std::string& id) const
+std::optional<JudgedProposal> Publisher::findVerdict (const std::string& id) const
 {
     for (const auto& judged : m_verdicts)
         if (judged.m_id == id)
--- a/modules/plankledge_operator/Publisher.h
+++ b/modules/plankledge_operator/Publisher.h
@@ -10,66 +10,65 @@
 namespace plankledge
 {
 
-/** Why a publication has no verdict. */
+/** Errors that leave a publication without a verdict. */
 enum class PublishError : std::uint8_t
 {
-    logUnavailable, /**< it may or may not have taken effect: ask again with the same id */
-    cannotJudge,    /**< the log no longer keeps what is in force; a node's state is needed */
-    timedOut
+    logUnavailable,     /**< the publication may have taken effect: retry with the same id */
+    versionNotRetained, /**< the log no longer contains the version in force, see Publisher::adopt */
+    timedOut            /**< the publication may have taken effect: retry with the same id */
 };
 
-/** @returns the error's text for an operator */
+/** @returns the error message */
 std::string_view nameOf (PublishError error) noexcept;
 
 absl::Status toStatus (PublishError error);
 
 //==============================================================================
 /**
-    Publishes a version of the declarations through the log and judges it by reading
-    back, as every node does.
+    Publishes a version of the declarations by appending it to the log, then reads the log to
+    determine the verdict, as every node does.
 
-    An append whose answer is lost does no harm: the record's id is unique, and the
-    first record that has it counts.
+    Appends can be retried safely: of the records with one id, only the first counts.
 */
 class Publisher
 {
 public:
     //==============================================================================
-    /** How it reaches the log, and how it waits. */
+    /** Access to the log, and the delay between polls. */
     struct Hooks
     {
         std::function<absl::StatusOr<LogPage> (LogOffset from)> m_read;
         std::function<absl::Status (const std::string& data)> m_append;
-        std::function<bool()> m_pause; /**< @returns false once time is up */
+        std::function<bool()> m_pause; /**< waits before the next poll; returns false after the timeout */
     };
 
     Publisher (DeclarationsParser parser, Hooks hooks);
 
-    /** Takes in a node's state, for logs that keep records for a limited time. */
+    /** Sets the version in force from a node's state; required if the log no longer contains that version. */
     void adopt (const ConfigurationState& state) { m_judge.adopt (state); }
 
-    /** Reads the log up to its end.
+    /** Reads the log to its end.
 
-        @returns what is in force, or a PublishError as a status
+        @returns the version in force, or a PublishError as a status
     */
     absl::StatusOr<ConfigurationState> current();
 
-    /** Publishes.
+    /** Publishes a version of the declarations.
 
-        @param id     unique to this publication
-        @param base   the version the text is based on; nullopt: the one in force now
-        @returns the verdict by log order, or a PublishError as a status
+        @param id     unique id of this publication
+        @param base   the version on which the text is based; nullopt: the version in force
+        @returns the verdict, or a PublishError as a status
     */
     absl::StatusOr<JudgedProposal> publish (const std::string& id, const std::string& text,
                                             std::optional<ConfigurationVersion> base);
 
-    /** @returns the verdicts on all proposals that were read so far, in log order */
+    /** @returns the verdicts on all proposals read so far, in log order */
     const std::vector<JudgedProposal>& verdicts() const noexcept { return m_verdicts; }
 
 private:
     //==============================================================================
     absl::Status readToEnd();
-    std::optional<JudgedProposal> verdictOn (const std::string& id) const;
+    std::optional<JudgedProposal> findVerdict (const std::string& id) const;
 
     Hooks m_hooks;
     ConfigurationJudge m_judge;
--- a/modules/plankledge_operator/plankledge_operator.h
+++ b/modules/plankledge_operator/plankledge_operator.h
@@ -1,6 +1,7 @@
 /*  BEGIN MODULE
     name:          plankledge_operator
-    description:   What operators do: publish declarations and read verdicts from the log.
+    description:   Operator tools: publication of declarations through the log, and analysis of
+                   the nodes' logs.
     dependencies:  plankledge_core, plankledge_policy, plankledge_formats
     END MODULE */
 
