--- a/modules/plankledge_load/IdealAllocation.cpp
+++ b/modules/plankledge_load/IdealAllocation.cpp
@@ -10,16 +10,17 @@
 {
 
 constexpr Milliseconds step { 1000 };
-constexpr Milliseconds typicalPause { 1500 }; // between sendings of a caller who obeys
-constexpr Milliseconds hardPause { 50 };      // of one who does not
+constexpr Milliseconds typicalRetryDelay { 1500 }; // delay between attempts that obey Retry-After
+constexpr Milliseconds immediateRetryDelay { 50 }; // delay between attempts that ignore Retry-After
 
-/** Slot time, in milliseconds, that a service has in one step. */
+/** @returns the slot time that a service provides per step, in milliseconds */
 double slotTimeIn (const Scenario& scenario, const ServiceName& service)
 {
     return static_cast<double> (scenario.m_services.at (service).m_slots) *
            static_cast<double> (step.count());
 }
 
+/** @returns the service time at a point of the scenario, in milliseconds */
 double serviceMsAt (const Scenario& scenario, const ServiceName& service, Milliseconds at)
 {
     const auto& trigger = scenario.m_trigger;
@@ -30,16 +31,16 @@
 } // namespace
 
 //==============================================================================
-Milliseconds patienceOf (const CallerGroup& group)
+Milliseconds retryDurationOf (const CallerGroup& group)
 {
-    return (group.m_obeysRetryAfter ? typicalPause : hardPause) * group.m_resendings;
+    return (group.m_obeysRetryAfter ? typicalRetryDelay : immediateRetryDelay) * group.m_maxRetries;
 }
 
 IdealAllocation allocateIdeally (const Scenario& scenario, const std::vector<Arrival>& arrivals)
 {
     const auto& groups = scenario.m_groups;
     IdealAllocation ideal { std::vector<double> (groups.size(), 0.0) };
-    std::vector<std::vector<double>> waiting (groups.size()); // by age in steps, the oldest last
+    std::vector<std::vector<double>> waiting (groups.size()); // requests by age in steps, oldest last
     std::vector<std::size_t> order (groups.size());
     std::iota (order.begin(), order.end(), 0U);
     std::stable_sort (order.begin(), order.end(), [&groups] (std::size_t left, std::size_t right) {
@@ -64,21 +65,22 @@
         for (const auto group : order)
         {
             auto& ages = waiting[group];
-            ages.resize (
-                std::min (ages.size(), 1 + static_cast<std::size_t> (patienceOf (groups[group]) / step)));
+            ages.resize (std::min (ages.size(),
+                                   1 + static_cast<std::size_t> (retryDurationOf (groups[group]) / step)));
 
-            double fits = 1e18;
+            double maxServed = 1e18;
 
             for (const auto& [service, visits] : groups[group].m_visits)
-                fits = std::min (fits, slotTime[service] / (visits * serviceMsAt (scenario, service, at)));
+                maxServed =
+                    std::min (maxServed, slotTime[service] / (visits * serviceMsAt (scenario, service, at)));
 
             double served = 0.0;
 
             for (auto age = ages.rbegin(); age != ages.rend(); ++age)
             {
-                const auto now = std::min (*age, fits - served);
-                *age -= now;
-                served += now;
+                const auto completed = std::min (*age, maxServed - served);
+                *age -= completed;
+                served += completed;
             }
 
             for (const auto& [service, visits] : groups[group].m_visits)
--- a/modules/plankledge_load/IdealAllocation.h
+++ b/modules/plankledge_load/IdealAllocation.h
@@ -5,21 +5,21 @@
 namespace plankledge
 {
 
-/** The most requests of each group that the slots could have completed. */
+/** Upper bound of the requests of each group that the slots can complete. */
 struct IdealAllocation
 {
-    std::vector<double> m_completed; /**< by group */
+    std::vector<double> m_completed; /**< requests, by group */
 };
 
-/** Works out what a perfect allocator could have done.
+/** Computes the result of an ideal allocator.
 
-    Second by second, important groups first, each request takes the slot time it needs of every service it
-    visits; what finds no capacity is tried again for as long as its caller goes on sending when each sending
-   is answered at once: holding requests back is not accepted, so it earns nothing here.
+    In steps of one second, important groups first, each request takes the slot time that it needs from every
+    service that it visits. A request that finds no capacity is retried until its caller gives up. Since each
+    attempt is assumed to be answered at once, queueing does not extend this time.
 */
 IdealAllocation allocateIdeally (const Scenario& scenario, const std::vector<Arrival>& arrivals);
 
-/** @returns how long a caller of the group goes on sending when it is refused at once each time */
-Milliseconds patienceOf (const CallerGroup& group);
+/** @returns the time for which a caller of the group retries if every attempt is rejected at once */
+Milliseconds retryDurationOf (const CallerGroup& group);
 
 } // namespace plankledge
--- a/modules/plankledge_load/LoadRunner.cpp
+++ b/modules/plankledge_load/LoadRunner.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr Duration hardResendPause = Milliseconds (50);
-constexpr Duration defaultPause = std::chrono::seconds (1);
+constexpr Duration retryDelayWithoutBackoff = Milliseconds (50);
+constexpr Duration defaultRetryDelay = std::chrono::seconds (1);
 
 } // namespace
 
@@ -58,7 +58,7 @@
     m_started = BootClock::now();
     m_pending.clear();
     m_pending.resize (arrivals.size());
-    m_open = arrivals.size();
+    m_unfinished = arrivals.size();
 
     for (std::size_t index = 0; index < arrivals.size(); ++index)
     {
@@ -66,9 +66,9 @@
         m_pending[index].m_result.m_at = arrivals[index].m_at;
     }
 
-    // One timer walks through the arrivals.
-    const auto walk = std::make_shared<std::function<void (std::size_t)>>();
-    *walk = [this, &arrivals, weak = std::weak_ptr (walk)] (std::size_t index) {
+    // A single timer starts the arrivals in order.
+    const auto startDue = std::make_shared<std::function<void (std::size_t)>>();
+    *startDue = [this, &arrivals, weak = std::weak_ptr (startDue)] (std::size_t index) {
         const auto self = weak.lock();
 
         while (index < arrivals.size() && arrivals[index].m_at <= elapsed())
@@ -78,7 +78,7 @@
             at (arrivals[index].m_at, [self, index] { (*self) (index); });
     };
 
-    at (Duration::zero(), [walk] { (*walk) (0); });
+    at (Duration::zero(), [startDue] { (*startDue) (0); });
 
     if (m_onTrigger && m_scenario.m_trigger.m_to > m_scenario.m_trigger.m_from)
     {
@@ -88,7 +88,7 @@
 
     m_context.restart();
 
-    while (m_open > 0 && m_context.run_one() > 0)
+    while (m_unfinished > 0 && m_context.run_one() > 0)
     {
     }
 
@@ -116,14 +116,14 @@
     const auto& clients = m_clients.at (group.m_service);
     const auto& entry = clients[m_nextEntry++ % clients.size()];
     pending.m_client = entry.m_client.get();
-    ++pending.m_result.m_sendings;
+    ++pending.m_result.m_attempts;
 
     HttpRequest request;
     request.m_method = "POST";
     request.m_target = fmt::format ("/{}/{}?r={}", group.m_service, group.m_operation, index);
     request.m_contentType = "text/plain";
     request.m_body = fmt::format ("request {}", index);
-    request.m_headers = { { "Plankledge-Attempt", fmt::format ("{}", pending.m_result.m_sendings) },
+    request.m_headers = { { "Plankledge-Attempt", fmt::format ("{}", pending.m_result.m_attempts) },
                           { "Plankledge-Age-Ms",
                             fmt::format ("{}", toMilliseconds (elapsed() - pending.m_result.m_at)) },
                           { "Plankledge-Timeout-Ms", fmt::format ("{}", group.m_timeout.count()) } };
@@ -133,15 +133,15 @@
 
     pending.m_client->send (index, entry.m_endpoint, std::move (request));
 
-    // A caller gives up on its own clock, whatever the node does.
-    const auto sending = pending.m_result.m_sendings;
-    at (elapsed() + Duration (group.m_timeout) + Milliseconds (500), [this, index, sending] {
-        auto& late = m_pending[index];
+    // The caller's own timeout, in case the node does not answer.
+    const auto attempt = pending.m_result.m_attempts;
+    at (elapsed() + Duration (group.m_timeout) + Milliseconds (500), [this, index, attempt] {
+        auto& current = m_pending[index];
 
-        if (late.m_client == nullptr || late.m_result.m_sendings != sending)
+        if (current.m_client == nullptr || current.m_result.m_attempts != attempt)
             return;
 
-        late.m_client->abandon (index);
+        current.m_client->abandon (index);
         onAnswer (index, TargetFailure::broken);
     });
 }
@@ -155,30 +155,31 @@
     pending.m_client = nullptr;
 
     if (response == nullptr || findHeader (response->m_headers, "Plankledge-Outcome") == "unknown")
-        result.m_wasUnknown = true;
+        result.m_hadUnknownOutcome = true;
 
     result.m_isCompleted = response != nullptr && response->m_status == 200;
-    result.m_took = elapsed() - result.m_at;
+    result.m_latency = elapsed() - result.m_at;
 
-    if (result.m_isCompleted || result.m_sendings > group.m_resendings)
+    if (result.m_isCompleted || result.m_attempts > group.m_maxRetries)
     {
-        --m_open;
+        --m_unfinished;
         return;
     }
 
     if (! group.m_obeysRetryAfter)
-        return resendLater (index, hardResendPause);
+        return scheduleRetry (index, retryDelayWithoutBackoff);
 
-    std::int64_t comeBackMs = 0;
+    std::int64_t retryAfterMs = 0;
     const auto header = response != nullptr ? findHeader (response->m_headers, "Plankledge-Retry-After-Ms")
                                             : std::string_view();
-    const bool isSaid = absl::SimpleAtoi (absl::string_view (header.data(), header.size()), &comeBackMs);
-    resendLater (index, isSaid ? Duration (Milliseconds (comeBackMs)) : defaultPause);
+    const bool hasRetryAfter =
+        absl::SimpleAtoi (absl::string_view (header.data(), header.size()), &retryAfterMs);
+    scheduleRetry (index, hasRetryAfter ? Duration (Milliseconds (retryAfterMs)) : defaultRetryDelay);
 }
 
-void LoadRunner::resendLater (std::size_t index, Duration pause)
+void LoadRunner::scheduleRetry (std::size_t index, Duration delay)
 {
-    at (elapsed() + pause, [this, index] { send (index); });
+    at (elapsed() + delay, [this, index] { send (index); });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_load/LoadRunner.h
+++ b/modules/plankledge_load/LoadRunner.h
@@ -8,22 +8,22 @@
 namespace plankledge
 {
 
-/** What came of one request of a caller, over all its sendings. */
+/** Result of one request over all its attempts. */
 struct RequestResult
 {
     std::size_t m_group = 0;
-    Milliseconds m_at { 0 }; /**< of the first sending, since the start */
-    Duration m_took {};      /**< until the answer that ended it */
-    std::uint32_t m_sendings = 0;
-    bool m_isCompleted = false; /**< a whole answer with status 200 */
-    bool m_wasUnknown = false;  /**< some sending ended so */
-    Duration m_lateness {};     /**< how far behind its time the first sending was */
+    Milliseconds m_at { 0 }; /**< of the first attempt, since the start */
+    Duration m_latency {};   /**< from the first attempt's scheduled time to the last answer */
+    std::uint32_t m_attempts = 0;
+    bool m_isCompleted = false;       /**< complete answer with status 200 */
+    bool m_hadUnknownOutcome = false; /**< an attempt had an unknown outcome */
+    Duration m_lateness {};           /**< delay of the first attempt after its scheduled time */
 };
 
 //==============================================================================
 /**
-    Sends a scenario's requests to nodes, each at its time whatever became of the
-    others, and lets callers resend as declared.
+    Sends a scenario's requests to nodes in an open loop: each is sent at its scheduled time,
+    regardless of the others. Failed requests are retried as the scenario specifies.
 */
 class LoadRunner
 {
@@ -34,7 +34,7 @@
                 const std::map<ServiceName, std::vector<Endpoint>>& entries);
     ~LoadRunner();
 
-    /** Sends everything; returns once each request has its last answer. */
+    /** Sends all requests; returns once each has completed or used up its retries. */
     std::vector<RequestResult> run (const std::vector<Arrival>& arrivals);
 
     /** Called when the scenario's trigger begins (true) and ends (false). */
@@ -47,13 +47,13 @@
     void start (std::size_t index);
     void send (std::size_t index);
     void onAnswer (std::size_t index, const TargetClient::Answer& answer);
-    void resendLater (std::size_t index, Duration pause);
+    void scheduleRetry (std::size_t index, Duration delay);
     Duration elapsed() const;
     void at (Duration time, std::function<void()> action);
 
     boost::asio::io_context& m_context;
     const Scenario& m_scenario;
-    /** An entry of a service, with a pool of connections of its own. */
+    /** An entry of a service, with its own connection pool. */
     struct EntryClient
     {
         Endpoint m_endpoint;
@@ -62,7 +62,7 @@
 
     std::map<ServiceName, std::vector<EntryClient>> m_clients;
     std::vector<Pending> m_pending;
-    std::size_t m_open = 0;
+    std::size_t m_unfinished = 0;
     std::size_t m_nextEntry = 0;
     std::string m_runId;
     Time m_started;
--- a/modules/plankledge_load/Scenario.cpp
+++ b/modules/plankledge_load/Scenario.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::uint64_t jitterSteps = 1000;
 
-double number (const json::object& object, const char* field, double otherwise)
+double number (const json::object& object, const char* field, double defaultValue)
 {
     const auto* value = object.if_contains (field);
-    return value != nullptr ? value->to_number<double>() : otherwise;
+    return value != nullptr ? value->to_number<double>() : defaultValue;
 }
 
 std::string text (const json::object& object, const char* field)
@@ -26,15 +26,15 @@
     return value != nullptr ? std::string (value->as_string()) : std::string();
 }
 
-bool flag (const json::object& object, const char* field, bool otherwise)
+bool flag (const json::object& object, const char* field, bool defaultValue)
 {
     const auto* value = object.if_contains (field);
-    return value != nullptr ? value->as_bool() : otherwise;
+    return value != nullptr ? value->as_bool() : defaultValue;
 }
 
-Milliseconds duration (const json::object& object, const char* field, double otherwise)
+Milliseconds duration (const json::object& object, const char* field, double defaultValue)
 {
-    return Milliseconds (static_cast<std::int64_t> (number (object, field, otherwise)));
+    return Milliseconds (static_cast<std::int64_t> (number (object, field, defaultValue)));
 }
 
 CallerGroup readGroup (const json::object& object)
@@ -47,7 +47,7 @@
     group.m_hasKeys = flag (object, "keys", false);
     group.m_perSecond = number (object, "per_second", 0);
     group.m_timeout = duration (object, "timeout_ms", 3000);
-    group.m_resendings = static_cast<std::uint32_t> (number (object, "resendings", 0));
+    group.m_maxRetries = static_cast<std::uint32_t> (number (object, "resendings", 0));
     group.m_obeysRetryAfter = flag (object, "obeys_retry_after", true);
 
     for (const auto& entry : object.at ("visits").as_object())
@@ -88,7 +88,7 @@
     {
         return readScenario (json::parse (source).as_object());
     }
-    catch (const std::exception& error) // Boost.JSON's accessors throw
+    catch (const std::exception& error) // thrown by Boost.JSON's accessors
     {
         return absl::InvalidArgumentError (error.what());
     }
@@ -111,7 +111,7 @@
                 scenario.m_groups[index].m_perSecond * (isInTrigger ? scenario.m_trigger.m_surge : 1.0);
             arrivals.push_back ({ time, index });
 
-            // Evenly spread, with jitter of plus or minus a half.
+            // Evenly spaced, with a jitter of up to 50 % either way.
             const auto jitter = 0.5 + static_cast<double> (random.below (jitterSteps)) / jitterSteps;
             at += 1000.0 / rate * jitter;
         }
--- a/modules/plankledge_load/Scenario.h
+++ b/modules/plankledge_load/Scenario.h
@@ -10,7 +10,7 @@
 namespace plankledge
 {
 
-/** Callers who ask for one operation. */
+/** Callers of one operation. */
 struct CallerGroup
 {
     std::string m_name;
@@ -19,30 +19,30 @@
     bool m_isImportant = false;
     bool m_hasKeys = false;
     double m_perSecond = 0.0;
-    Milliseconds m_timeout { 3000 };        /**< of one sending */
-    std::uint32_t m_resendings = 0;         /**< beyond the first sending */
-    bool m_obeysRetryAfter = true;          /**< otherwise it resends at once */
-    std::map<ServiceName, double> m_visits; /**< runs that one request needs, by service */
+    Milliseconds m_timeout { 3000 };        /**< of one attempt */
+    std::uint32_t m_maxRetries = 0;         /**< per request */
+    bool m_obeysRetryAfter = true;          /**< otherwise retries follow almost at once */
+    std::map<ServiceName, double> m_visits; /**< runs per request, by service */
 };
 
-/** How much a service's targets can do. */
+/** Capacity of a service's targets. */
 struct ServiceCapacity
 {
-    std::uint32_t m_slots = 0; /**< of all its targets */
+    std::uint32_t m_slots = 0; /**< over all targets */
     double m_serviceMs = 0.0;
 };
 
-/** The trouble between two times. */
+/** A temporary overload: a surge of requests, a slow service, or both. */
 struct Trigger
 {
     Milliseconds m_from { 0 };
     Milliseconds m_to { 0 };
-    double m_surge = 1.0;      /**< callers come so many times as often */
+    double m_surge = 1.0;      /**< factor of the request rate */
     ServiceName m_slowService; /**< empty: none */
-    double m_slowFactor = 1.0; /**< its targets take so many times as long */
+    double m_slowFactor = 1.0; /**< factor of its service time */
 };
 
-/** A recorded load: who asks for what when, what goes wrong, and what must come of it. */
+/** A load scenario: callers, capacities and a temporary overload. */
 struct Scenario
 {
     std::string m_name;
@@ -53,7 +53,7 @@
     Trigger m_trigger;
 };
 
-/** One request that a caller wants done, with its time of first sending. */
+/** A request, with the scheduled time of its first attempt. */
 struct Arrival
 {
     Milliseconds m_at { 0 };
@@ -61,10 +61,10 @@
 };
 
 //==============================================================================
-/** Reads a scenario from JSON; see tests/traces for examples. */
+/** Parses a scenario from JSON; see tests/traces for examples. */
 absl::StatusOr<Scenario> parseScenario (const std::string& text);
 
-/** Expands a scenario to its arrivals, in time order; the same seed gives the same. */
+/** Generates the arrivals of a scenario, in chronological order; deterministic for a given seed. */
 std::vector<Arrival> expandArrivals (const Scenario& scenario);
 
 } // namespace plankledge
--- a/modules/plankledge_load/ScenarioReport.cpp
+++ b/modules/plankledge_load/ScenarioReport.cpp
@@ -13,9 +13,9 @@
 
 constexpr double tolerance = 0.1;
 constexpr double latencySlackMs = 5.0;
-constexpr std::size_t settleBuckets = 4; // at the start: connections open, averages form
+constexpr std::size_t warmUpBuckets = 4; // excluded: connections and moving averages are being established
 
-/** @returns the value that a share of the sorted values is not above; 0 where there are none */
+/** @returns the quantile of the values; 0 if there are none */
 double quantile (std::vector<double> values, double probability)
 {
     if (values.empty())
@@ -26,12 +26,12 @@
     return values[index];
 }
 
-/** Requests first sent in one bucket. */
+/** Requests whose first attempt is in one time interval. */
 struct Bucket
 {
     std::size_t m_sent = 0;
     std::size_t m_completed = 0;
-    std::size_t m_atOnce = 0; /**< completed at the first sending */
+    std::size_t m_completedFirstAttempt = 0; /**< completed by the first attempt */
     std::vector<double> m_latencies;
 
     double share() const
@@ -53,8 +53,8 @@
             continue;
 
         ++bucket.m_completed;
-        bucket.m_atOnce += result.m_sendings == 1 ? 1 : 0;
-        bucket.m_latencies.push_back (static_cast<double> (result.m_took.count()) / 1000.0);
+        bucket.m_completedFirstAttempt += result.m_attempts == 1 ? 1 : 0;
+        bucket.m_latencies.push_back (static_cast<double> (result.m_latency.count()) / 1000.0);
     }
 
     return buckets;
@@ -69,9 +69,9 @@
     double shareBefore = 0.0;
     std::vector<double> latenciesBefore;
 
-    for (auto index = settleBuckets; index < from; ++index)
+    for (auto index = warmUpBuckets; index < from; ++index)
     {
-        shareBefore += buckets[index].share() / static_cast<double> (from - settleBuckets);
+        shareBefore += buckets[index].share() / static_cast<double> (from - warmUpBuckets);
         latenciesBefore.insert (latenciesBefore.end(), buckets[index].m_latencies.begin(),
                                 buckets[index].m_latencies.end());
     }
@@ -104,8 +104,8 @@
     const auto last = static_cast<std::size_t> (scenario.m_duration / reportBucket);
     double before = 0.0;
 
-    for (auto index = settleBuckets; index < from; ++index)
-        before += goodput[index] / static_cast<double> (from - settleBuckets);
+    for (auto index = warmUpBuckets; index < from; ++index)
+        before += goodput[index] / static_cast<double> (from - warmUpBuckets);
 
     auto recovered = last;
 
@@ -137,30 +137,30 @@
         report.m_groups.push_back (group);
     }
 
-    std::size_t sendings = 0;
+    std::size_t attempts = 0;
 
     for (const auto& result : results)
     {
         auto& group = report.m_groups[result.m_group];
         ++group.m_offered;
-        sendings += result.m_sendings;
+        attempts += result.m_attempts;
         report.m_worstLatenessMs =
             std::max (report.m_worstLatenessMs, static_cast<double> (result.m_lateness.count()) / 1000.0);
 
         if (! result.m_isCompleted)
         {
-            group.m_unknown += result.m_wasUnknown ? 1 : 0;
+            group.m_unknown += result.m_hadUnknownOutcome ? 1 : 0;
             continue;
         }
 
         ++group.m_completed;
-        const auto bucket = static_cast<std::size_t> ((result.m_at + result.m_took) / reportBucket);
+        const auto bucket = static_cast<std::size_t> ((result.m_at + result.m_latency) / reportBucket);
 
         if (bucket < report.m_goodput.size())
             report.m_goodput[bucket] += 1.0;
 
-        if (result.m_sendings == 1)
-            latencies[result.m_group].push_back (static_cast<double> (result.m_took.count()) / 1000.0);
+        if (result.m_attempts == 1)
+            latencies[result.m_group].push_back (static_cast<double> (result.m_latency.count()) / 1000.0);
     }
 
     for (std::size_t index = 0; index < latencies.size(); ++index)
@@ -170,9 +170,10 @@
     }
 
     for (const auto& bucket : bucketsOf (scenario, results))
-        report.m_firstTime.push_back (bucket.m_sent > 0 ? static_cast<double> (bucket.m_atOnce) /
-                                                              static_cast<double> (bucket.m_sent)
-                                                        : 1.0);
+        report.m_firstAttemptShare.push_back (bucket.m_sent > 0
+                                                  ? static_cast<double> (bucket.m_completedFirstAttempt) /
+                                                        static_cast<double> (bucket.m_sent)
+                                                  : 1.0);
 
     if (scenario.m_trigger.m_to > scenario.m_trigger.m_from)
     {
@@ -181,7 +182,7 @@
     }
 
     report.m_sendingsPerRequest =
-        results.empty() ? 0.0 : static_cast<double> (sendings) / static_cast<double> (results.size());
+        results.empty() ? 0.0 : static_cast<double> (attempts) / static_cast<double> (results.size());
     return report;
 }
 
@@ -202,7 +203,7 @@
     return json::serialize (json::object { { "scenario", scenario.m_name },
                                            { "groups", std::move (groups) },
                                            { "goodput", json::value_from (report.m_goodput) },
-                                           { "first_time", json::value_from (report.m_firstTime) },
+                                           { "first_time", json::value_from (report.m_firstAttemptShare) },
                                            { "goodput_recovery_s", report.m_goodputRecoverySeconds },
                                            { "recovery_s", report.m_recoverySeconds },
                                            { "sendings_per_request", report.m_sendingsPerRequest },
--- a/modules/plankledge_load/ScenarioReport.h
+++ b/modules/plankledge_load/ScenarioReport.h
@@ -6,40 +6,41 @@
 namespace plankledge
 {
 
-/** What came of one group. */
+/** Results of one group of callers. */
 struct GroupReport
 {
     std::string m_name;
     bool m_isImportant = false;
     std::size_t m_offered = 0;
     std::size_t m_completed = 0;
-    std::size_t m_unknown = 0; /**< not completed, and some sending may have run */
-    double m_ideal = 0.0;
-    double m_p50Ms = 0.0; /**< of requests completed at the first sending */
+    std::size_t m_unknown = 0; /**< not completed, and an attempt may have run */
+    double m_ideal = 0.0;      /**< requests that an ideal allocator completes */
+    double m_p50Ms = 0.0;      /**< of requests completed by the first attempt */
     double m_p99Ms = 0.0;
 };
 
-/** What came of a scenario. */
+/** Results of a scenario. */
 struct ScenarioReport
 {
     std::vector<GroupReport> m_groups;
-    std::vector<double> m_goodput; /**< completed requests in each bucket, by time of answer */
+    std::vector<double> m_goodput; /**< completed requests per bucket, by time of the answer */
     std::vector<double>
-        m_firstTime; /**< share of each bucket's new requests that completed at the first sending */
-    double m_goodputRecoverySeconds = 0.0; /**< after the trigger's end; negative: not within the run */
-    double m_recoverySeconds = 0.0;        /**< of goodput and the 99th percentile */
+        m_firstAttemptShare; /**< share of each bucket's new requests that the first attempt completed */
+    double m_goodputRecoverySeconds = 0.0; /**< after the trigger's end; negative: not reached */
+    double m_recoverySeconds = 0.0;        /**< the same, of completion rate and latency */
     double m_sendingsPerRequest = 0.0;
-    double m_worstLatenessMs = 0.0; /**< of the load tool behind its own times */
+    double m_worstLatenessMs = 0.0; /**< maximum delay of a first attempt after its scheduled time */
 };
 
-/** How long one bucket of the goodput lasts. */
+/** Length of a bucket. */
 inline constexpr Milliseconds reportBucket { 500 };
 
-/** Sums up results.
+/** Aggregates the results of a scenario.
 
-    Recovery of goodput: from the trigger's end until the first bucket from which on as many requests complete
-   as before the trigger, less 10 %. Recovery of all: until, by time of first sending, the share of requests
-   that completed and their 99th percentile, resendings included, are within 10 % of what they were.
+    Goodput has recovered from the first bucket after the trigger's end from which on at least 90 % as many
+    requests complete as before the trigger. Recovery also includes latency: by time of the first attempt, the
+    share of completed requests and their 99th percentile, retries included, are within 10 % of those before
+   the trigger, with a few milliseconds of slack for the percentile.
 */
 ScenarioReport makeReport (const Scenario& scenario, const std::vector<RequestResult>& results,
                            const IdealAllocation& ideal);
--- a/modules/plankledge_load/plankledge_load.h
+++ b/modules/plankledge_load/plankledge_load.h
@@ -1,7 +1,7 @@
 /*  BEGIN MODULE
     name:          plankledge_load
-    description:   Sends the callers of a scenario to running nodes, open loop, and reports
-                   what came of them beside the most that the slots could have done.
+    description:   Open-loop load generator: sends a scenario's requests to running nodes and
+                   compares the results with an ideal allocation.
     dependencies:  plankledge_core, plankledge_runtime
     END MODULE */
 
