--- a/benchmarks/Reducer_benchmark.cpp
+++ b/benchmarks/Reducer_benchmark.cpp
@@ -1,4 +1,4 @@
-/*  What one event costs the reducer, against the number of members and of calls in flight. */
+/*  CPU time per event of the reducer, by number of members and of calls in flight. */
 
 #include "plankledge_formats/DeclarationsJson.h"
 #include "plankledge_formats/PlatformJson.h"
@@ -16,11 +16,11 @@
 constexpr const char* declarations = R"({"services":{"plans":{"slots":1000,"queue_length":20000,"operations":{
     "deliver":{"class":"normal","repeatable":true,"longest_wait_ms":60000,"retry_budget":2}}}}})";
 
-/** A node with so many members, of which nine are of its own service. */
-class Subject
+/** A node that knows the given number of members, nine of them of its own service. */
+class BenchmarkNode
 {
 public:
-    explicit Subject (std::int64_t members)
+    explicit BenchmarkNode (std::int64_t members)
         : m_reducer (settings(), [] (const std::string& text) { return parseValidDeclarations (text); })
     {
         m_reducer.start (m_now);
@@ -46,8 +46,8 @@
         return m_reducer.apply ({ m_now, std::move (body) });
     }
 
-    /** One call from a peer, run and answered. */
-    void callThrough()
+    /** Runs one call from a peer, from its arrival to the target's answer. */
+    void runInboundCall()
     {
         const auto effects = apply (PeerMessageReceived { 1, { "instance-1", 5 }, request() });
 
@@ -82,11 +82,11 @@
 
 void inboundCall (benchmark::State& state)
 {
-    Subject subject (state.range (0));
+    BenchmarkNode node (state.range (0));
     const auto before = mallinfo2().uordblks;
 
     for (auto _ : state)
-        subject.callThrough();
+        node.runInboundCall();
 
     state.counters["events"] =
         benchmark::Counter (static_cast<double> (state.iterations() * 2), benchmark::Counter::kIsRate);
@@ -96,26 +96,26 @@
 
 void inboundCallWithOthersInFlight (benchmark::State& state)
 {
-    Subject subject (830);
+    BenchmarkNode node (830);
 
     for (std::int64_t number = 0; number < state.range (0); ++number)
-        (void)subject.apply (PeerMessageReceived { 1, { "instance-1", 5 }, subject.request() });
+        (void)node.apply (PeerMessageReceived { 1, { "instance-1", 5 }, node.request() });
 
     for (auto _ : state)
-        subject.callThrough();
+        node.runInboundCall();
 }
 
 void outgoingCall (benchmark::State& state)
 {
-    Subject subject (state.range (0));
+    BenchmarkNode node (state.range (0));
     Ticket ticket = 0;
 
     for (auto _ : state)
     {
         RequestReceived request;
         request.m_ticket = ++ticket;
-        request.m_content = subject.request().m_content;
-        const auto effects = subject.apply (request);
+        request.m_content = node.request().m_content;
+        const auto effects = node.apply (request);
 
         for (const auto& effect : effects)
         {
@@ -128,12 +128,12 @@
                     answer.m_result = {
                         Outcome::completed, Reason::none, 200, "text/plain", "body", {}, false
                     };
-                    (void)subject.apply (PeerMessageReceived { 0, { sent->m_instance, 5 }, answer });
+                    (void)node.apply (PeerMessageReceived { 0, { sent->m_instance, 5 }, answer });
                 }
             }
             else if (const auto* dispatch = std::get_if<DispatchToTarget> (&effect))
             {
-                (void)subject.apply (TargetAnswered { dispatch->m_call, 200, "text/plain", "body" });
+                (void)node.apply (TargetAnswered { dispatch->m_call, 200, "text/plain", "body" });
             }
         }
     }
@@ -141,17 +141,17 @@
 
 void rumour (benchmark::State& state)
 {
-    Subject subject (state.range (0));
+    BenchmarkNode node (state.range (0));
     Rumour message;
     message.m_sender = { { "instance-7", 5 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
 
     for (auto _ : state)
-        benchmark::DoNotOptimize (subject.apply (RumourReceived { message }));
+        benchmark::DoNotOptimize (node.apply (RumourReceived { message }));
 }
 
-void wholeList (benchmark::State& state)
+void fullInstanceList (benchmark::State& state)
 {
-    Subject subject (state.range (0));
+    BenchmarkNode node (state.range (0));
     ListReceived list;
 
     for (std::int64_t number = 0; number < state.range (0); ++number)
@@ -159,14 +159,14 @@
             { fmt::format ("instance-{}", number), "plans", "a", { "127.0.0.1", 7001 }, false });
 
     for (auto _ : state)
-        benchmark::DoNotOptimize (subject.apply (list));
+        benchmark::DoNotOptimize (node.apply (list));
 }
 
 BENCHMARK (inboundCall)->Arg (10)->Arg (100)->Arg (830);
 BENCHMARK (inboundCallWithOthersInFlight)->Arg (10)->Arg (100)->Arg (900);
 BENCHMARK (outgoingCall)->Arg (10)->Arg (100)->Arg (830);
 BENCHMARK (rumour)->Arg (10)->Arg (100)->Arg (830);
-BENCHMARK (wholeList)->Arg (10)->Arg (100)->Arg (830);
+BENCHMARK (fullInstanceList)->Arg (10)->Arg (100)->Arg (830);
 
 } // namespace
 
