--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -218,8 +218,8 @@
     }
 };
 
-/** Heartbeat with the sender's member data and gate status; answered by PeerStatus. Sent if the two nodes
-   have not exchanged their gate status recently. */
+/** Heartbeat with the sender's member data and gate status; answered by PeerStatus.
+    Sent if the two nodes have not exchanged their gate status recently. */
 struct PeerHello
 {
     Member m_member;
@@ -312,8 +312,11 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_askedAt); }
 };
 
-/** Answers ProofQuestion. The receiver subtracts the age from m_askedAt, so that the result never overstates
-   how recent the proof is, however long the answer was delayed. */
+/** Answers ProofQuestion.
+
+    The receiver subtracts the age from m_askedAt, so that a delay of the answer never makes the proof
+    appear more recent than it is.
+*/
 struct ProofAnswer
 {
     Duration m_askedAt {};              /**< copied from the question */
--- a/modules/plankledge_load/ScenarioReport.cpp
+++ b/modules/plankledge_load/ScenarioReport.cpp
@@ -26,7 +26,7 @@
     return values[index];
 }
 
-/** Requests whose first attempt is in one time interval. */
+/** Requests whose first attempt is in one time bucket. */
 struct Bucket
 {
     std::size_t m_sent = 0;
--- a/modules/plankledge_load/ScenarioReport.h
+++ b/modules/plankledge_load/ScenarioReport.h
@@ -32,15 +32,17 @@
     double m_worstLatenessMs = 0.0; /**< maximum delay of a first attempt after its scheduled time */
 };
 
-/** Length of a bucket. */
+/** Length of the time buckets of a report. */
 inline constexpr Milliseconds reportBucket { 500 };
 
 /** Aggregates the results of a scenario.
 
     Goodput has recovered from the first bucket after the trigger's end from which on at least 90 % as many
-    requests complete as before the trigger. Recovery also includes latency: by time of the first attempt, the
-    share of completed requests and their 99th percentile, retries included, are within 10 % of those before
-   the trigger, with a few milliseconds of slack for the percentile.
+    requests complete as before the trigger.
+
+    Recovery also includes latency: by time of the first attempt, the share of completed requests and their
+   99th percentile, retries included, are within 10 % of those before the trigger. The percentile may also
+   exceed its bound by a few milliseconds.
 */
 ScenarioReport makeReport (const Scenario& scenario, const std::vector<RequestResult>& results,
                            const IdealAllocation& ideal);
--- a/modules/plankledge_operator/LogExplainer.cpp
+++ b/modules/plankledge_operator/LogExplainer.cpp
@@ -40,8 +40,8 @@
            event.m_event == "request-refused" || event.m_event == "request-given-up";
 }
 
-/** Ranks events by how specific they are about the cause: a gate observes its target's failure, an entry only
-   a missing answer. */
+/** Ranks events by how specific they are about the cause: a gate observes its target's failure,
+    an entry only a missing answer. */
 int specificityOf (const LoggedEvent& event)
 {
     if (event.m_event == "gate-ended")
--- a/modules/plankledge_operator/LogExplainer.h
+++ b/modules/plankledge_operator/LogExplainer.h
@@ -54,8 +54,8 @@
     /** @returns the events of a request and of the calls made for it, in chronological order */
     std::vector<LoggedEvent> eventsOf (std::string_view request) const;
 
-    /** @returns the cause of a request's failure: the event of the deepest failed request of its chain, a
-       gate's event being preferred to an entry's; nullopt if the logs contain no failure
+    /** @returns the cause of a request's failure: the event of the deepest failed request of its chain,
+       preferring a gate's event to an entry's; nullopt if the logs contain no failure
     */
     std::optional<FailureCause> causeOf (std::string_view request) const;
 
