--- a/modules/plankledge_load/ScenarioReport.h
+++ b/modules/plankledge_load/ScenarioReport.h
@@ -41,8 +41,8 @@
     requests complete as before the trigger.
 
     Recovery also includes latency: by time of the first attempt, the share of completed requests and their
-   99th percentile, retries included, are within 10 % of those before the trigger. The percentile may also
-   exceed its bound by a few milliseconds.
+    99th percentile, retries included, are within 10 % of those before the trigger. The percentile may
+    exceed this bound by a few milliseconds.
 */
 ScenarioReport makeReport (const Scenario& scenario, const std::vector<RequestResult>& results,
                            const IdealAllocation& ideal);
--- a/modules/plankledge_operator/LogExplainer.h
+++ b/modules/plankledge_operator/LogExplainer.h
@@ -55,7 +55,7 @@
     std::vector<LoggedEvent> eventsOf (std::string_view request) const;
 
     /** @returns the cause of a request's failure: the event of the deepest failed request of its chain,
-       preferring a gate's event to an entry's; nullopt if the logs contain no failure
+        preferring a gate's event to an entry's; nullopt if the logs contain no failure
     */
     std::optional<FailureCause> causeOf (std::string_view request) const;
 
