--- a/tests/platform/BadRecordsFuzz_test.cpp
+++ b/tests/platform/BadRecordsFuzz_test.cpp
@@ -31,7 +31,7 @@
     return text != nullptr ? static_cast<unsigned> (std::strtoul (text, nullptr, 10)) : usualTrials;
 }
 
-const TargetPlace place { "huvo", "a", "10.128.0.9" };
+const ExpectedTarget place { "huvo", "a", "10.128.0.9" };
 
 const std::string announcement =
     R"({"service":"huvo","address":"10.128.0.9:8080","zone":"a","version":"v1","slots":168,)"
--- a/tests/platform/HttpDialect_test.cpp
+++ b/tests/platform/HttpDialect_test.cpp
@@ -164,7 +164,7 @@
 }
 
 //==============================================================================
-const TargetPlace place { "huvo", "a", "10.128.0.9" };
+const ExpectedTarget place { "huvo", "a", "10.128.0.9" };
 
 /** @returns an announcement with one field replaced, or left out where the replacement is empty */
 std::string announcedWith (const std::string& field, const std::string& replacement)
