--- a/programs/plankctl.cpp
+++ b/programs/plankctl.cpp
@@ -1,4 +1,4 @@
-/*  plankctl: the operators' command. See docs/OPERATIONS.md for the commands and exit codes. */
+/*  plankctl: the operators' command-line tool. See docs/OPERATIONS.md for the commands and exit codes. */
 
 #include "plankledge_core/Hash.h"
 #include "plankledge_formats/DeclarationsJson.h"
@@ -17,12 +17,12 @@
 #include <random>
 #include <thread>
 
-DEFINE_string (platform, "", "IP:PORT of the platform's log and list");
-DEFINE_string (nodes, "", "IP:PORT of nodes' admin pages, with commas between them");
+DEFINE_string (platform, "", "IP:PORT of the platform's log and instance list");
+DEFINE_string (nodes, "", "IP:PORT of nodes' admin pages, comma-separated");
 DEFINE_int64 (base, -1, "the version that the published one is based on; -1: the one in force");
-DEFINE_bool (wait, false, "after publishing, wait until the version is in force at all of --nodes");
+DEFINE_bool (wait, false, "publish: wait until the version is in force at all of --nodes");
 DEFINE_bool (summary, false, "explain: count the failures of all requests by cause");
-DEFINE_int32 (timeout_ms, 15000, "how long to try");
+DEFINE_int32 (timeout_ms, 15000, "how long to retry, in milliseconds");
 
 namespace
 {
@@ -33,7 +33,7 @@
 constexpr int exitFailed = 1;
 constexpr int exitConflict = 3;
 constexpr Duration requestTimeout = std::chrono::seconds (2);
-constexpr std::chrono::milliseconds pause { 100 };
+constexpr std::chrono::milliseconds pollInterval { 100 };
 
 std::optional<std::string> readFile (const std::string& path)
 {
@@ -45,7 +45,7 @@
     return std::string (std::istreambuf_iterator<char> (file), {});
 }
 
-/** Reads and checks declarations; prints all faults. */
+/** Reads and validates declarations; prints all errors. */
 std::optional<std::string> readDeclarations (const std::string& path)
 {
     auto text = readFile (path);
@@ -65,7 +65,7 @@
 }
 
 //==============================================================================
-/** What the command line says besides the command. */
+/** Addresses given as flags. */
 struct Addresses
 {
     Endpoint m_platform;
@@ -84,7 +84,7 @@
     return check.reportFaults() ? std::nullopt : std::optional (addresses);
 }
 
-absl::StatusOr<HttpResponse> ask (const Endpoint& endpoint, const std::string& target)
+absl::StatusOr<HttpResponse> get (const Endpoint& endpoint, const std::string& target)
 {
     HttpRequest request;
     request.m_target = target;
@@ -98,7 +98,7 @@
 
     Publisher::Hooks hooks;
     hooks.m_read = [platform, target] (LogOffset from) -> absl::StatusOr<LogPage> {
-        const auto answer = ask (platform, fmt::format ("{}?from={}&limit=500", target, from));
+        const auto answer = get (platform, fmt::format ("{}?from={}&limit=500", target, from));
 
         if (! answer.ok() || answer->m_status != 200)
             return toStatus (PlatformError::unavailable);
@@ -115,18 +115,18 @@
                                                       : toStatus (PlatformError::unavailable);
     };
     hooks.m_pause = [deadline] {
-        std::this_thread::sleep_for (pause);
+        std::this_thread::sleep_for (pollInterval);
         return BootClock::now() < deadline;
     };
     return { makeDeclarationsParser(), std::move (hooks) };
 }
 
-/** Takes in the state of the first node that answers; the log may no longer keep it. */
+/** Starts the publisher from the state of the first node that answers: the log may have been truncated. */
 void adoptFromNodes (Publisher& publisher, const std::vector<Endpoint>& nodes)
 {
     for (const auto& node : nodes)
     {
-        const auto answer = ask (node, "/configuration");
+        const auto answer = get (node, "/configuration");
         ConfigurationState state;
 
         if (! answer.ok() ||
@@ -142,10 +142,10 @@
 }
 
 //==============================================================================
-/** @returns the version in force at a node; nullopt where it does not answer */
+/** @returns the version in force at a node; nullopt if it does not answer */
 std::optional<ConfigurationVersion> versionAt (const Endpoint& node)
 {
-    const auto answer = ask (node, "/configuration");
+    const auto answer = get (node, "/configuration");
     ConfigurationVersion version = 0;
 
     if (! answer.ok() ||
@@ -155,17 +155,17 @@
     return version;
 }
 
-/** Prints node by node until the version is in force everywhere. */
+/** Polls the nodes until the version is in force at all of them, and prints when each has it. */
 int waitUntilInForce (const std::vector<Endpoint>& nodes, ConfigurationVersion version)
 {
     const auto start = BootClock::now();
-    auto missing = nodes;
+    auto pendingNodes = nodes;
 
-    while (! missing.empty() && BootClock::now() - start < Milliseconds (FLAGS_timeout_ms))
+    while (! pendingNodes.empty() && BootClock::now() - start < Milliseconds (FLAGS_timeout_ms))
     {
-        std::erase_if (missing, [&] (const Endpoint& node) {
-            const auto there = versionAt (node);
-            const bool isInForce = there.has_value() && *there >= version;
+        std::erase_if (pendingNodes, [&] (const Endpoint& node) {
+            const auto versionInForce = versionAt (node);
+            const bool isInForce = versionInForce.has_value() && *versionInForce >= version;
 
             if (isInForce)
                 fmt::print ("in force at {}:{} after {} ms\n", node.m_ip, node.m_port,
@@ -174,14 +174,14 @@
             return isInForce;
         });
 
-        if (! missing.empty())
-            std::this_thread::sleep_for (pause);
+        if (! pendingNodes.empty())
+            std::this_thread::sleep_for (pollInterval);
     }
 
-    for (const auto& node : missing)
+    for (const auto& node : pendingNodes)
         fmt::print (stderr, "not in force at {}:{}\n", node.m_ip, node.m_port);
 
-    return missing.empty() ? exitDone : exitFailed;
+    return pendingNodes.empty() ? exitDone : exitFailed;
 }
 
 int publish (const std::string& path)
@@ -197,22 +197,22 @@
     std::random_device random;
     const auto id = fmt::format ("{:08x}{:08x}-{:016x}", random(), random(), hashText (*text));
     const auto base = FLAGS_base >= 0 ? std::optional<ConfigurationVersion> (FLAGS_base) : std::nullopt;
-    const auto judged = publisher.publish (id, *text, base);
+    const auto proposal = publisher.publish (id, *text, base);
 
-    if (! judged.ok())
+    if (! proposal.ok())
     {
-        fmt::print (stderr, "{}\n", std::string (judged.status().message()));
+        fmt::print (stderr, "{}\n", std::string (proposal.status().message()));
         return exitFailed;
     }
 
-    if (judged->m_verdict != Verdict::accepted)
+    if (proposal->m_verdict != Verdict::accepted)
     {
-        fmt::print (stderr, "conflict: version {} is in force\n", judged->m_version);
+        fmt::print (stderr, "conflict: version {} is in force\n", proposal->m_version);
         return exitConflict;
     }
 
-    fmt::print ("accepted as version {}\n", judged->m_version);
-    return FLAGS_wait ? waitUntilInForce (addresses->m_nodes, judged->m_version) : exitDone;
+    fmt::print ("accepted as version {}\n", proposal->m_version);
+    return FLAGS_wait ? waitUntilInForce (addresses->m_nodes, proposal->m_version) : exitDone;
 }
 
 int check (const std::string& path)
@@ -241,12 +241,12 @@
         return exitFailed;
     }
 
-    for (const auto& judged : publisher.verdicts())
+    for (const auto& proposal : publisher.verdicts())
         fmt::print ("{}  {}\n",
-                    judged.m_verdict == Verdict::accepted   ? fmt::format ("version {}", judged.m_version)
-                    : judged.m_verdict == Verdict::conflict ? std::string ("conflict")
-                                                            : std::string ("invalid"),
-                    judged.m_id);
+                    proposal.m_verdict == Verdict::accepted   ? fmt::format ("version {}", proposal.m_version)
+                    : proposal.m_verdict == Verdict::conflict ? std::string ("conflict")
+                                                              : std::string ("invalid"),
+                    proposal.m_id);
 
     fmt::print ("in force: version {}\n", state->m_version);
     return exitDone;
@@ -259,7 +259,7 @@
     for (const auto node : absl::StrSplit (FLAGS_nodes, ',', absl::SkipEmpty()))
     {
         SettingsCheck check;
-        const auto answer = ask (check.endpoint ("nodes", std::string (node)), "/state");
+        const auto answer = get (check.endpoint ("nodes", std::string (node)), "/state");
 
         if (answer.ok())
         {
@@ -277,7 +277,7 @@
 //==============================================================================
 /** Reads the logs of all nodes.
 
-    @returns nullopt where a file can't be read
+        @returns nullopt if a file can't be read
 */
 std::optional<LogExplainer> readLogs (const std::vector<std::string>& paths)
 {
@@ -314,15 +314,15 @@
 
     if (events.empty())
     {
-        fmt::print (stderr, "no line of these logs tells of {}\n", request);
+        fmt::print (stderr, "no line of these logs mentions {}\n", request);
         return exitFailed;
     }
 
     if (const auto cause = logs->causeOf (request); cause.has_value())
-        fmt::print ("cause: {} at {} (request {}, told by {})\n", cause->m_what, cause->m_where,
+        fmt::print ("cause: {} at {} (request {}, logged by {})\n", cause->m_what, cause->m_where,
                     cause->m_request, cause->m_event.m_instance);
     else
-        fmt::print ("no failure is told\n");
+        fmt::print ("no failure is logged\n");
 
     return exitDone;
 }
--- a/programs/plankledge-node.cpp
+++ b/programs/plankledge-node.cpp
@@ -1,5 +1,5 @@
-/*  plankledge-node: the process that runs beside one target. Settings are flags or FLAGS_… environment
- * variables. */
+/*  plankledge-node: the node process that runs beside one target. Settings are flags or FLAGS_… environment
+    variables. */
 
 #include "plankledge_runtime/KeyedNode.h"
 #include "plankledge_runtime/NodeProgram.h"
@@ -11,22 +11,23 @@
 DEFINE_string (instance, "", "this instance's name");
 DEFINE_string (service, "", "the service its target belongs to");
 DEFINE_string (zone, "", "its availability zone");
-DEFINE_string (ip, "", "the IP number it listens on for callers, peers and its target");
-DEFINE_int32 (caller_port, 7000, "HTTP, for outside callers");
-DEFINE_int32 (peer_port, 7001, "TCP and UDP, for other nodes");
-DEFINE_int32 (outbound_port, 7002, "HTTP, for the calls that the target makes");
-DEFINE_string (admin_ip, "127.0.0.1", "the IP number of the admin pages; loopback unless set");
-DEFINE_int32 (admin_port, 7003, "HTTP, for metrics and operators");
+DEFINE_string (ip, "", "the IP address it listens on for callers, peers and its target");
+DEFINE_int32 (caller_port, 7000, "port for external callers, HTTP");
+DEFINE_int32 (peer_port, 7001, "port for other nodes, TCP and UDP");
+DEFINE_int32 (outbound_port, 7002, "port for the target's outgoing calls, HTTP");
+DEFINE_string (admin_ip, "127.0.0.1", "the IP address of the admin pages");
+DEFINE_int32 (admin_port, 7003, "port of the admin pages (metrics and state), HTTP");
 DEFINE_string (target, "", "IP:PORT of the target");
-DEFINE_string (platform, "", "IP:PORT of the platform's log and list");
+DEFINE_string (platform, "", "IP:PORT of the platform's log and instance list");
 DEFINE_string (policy, "plankledge", "plankledge, or baseline for comparisons");
 DEFINE_string (log_level, "info", "debug, info, warning or error");
-DEFINE_string (record_trace, "", "a file to record all events to, for plankledge-replay --decisions");
-DEFINE_int32 (drain_grace_ms, 1000, "a leaving node still takes work that long");
-DEFINE_int32 (list_period_ms, 2000, "the shortest time between reads of the list");
-DEFINE_int32 (log_period_ms, 1000, "the shortest time between reads of the log");
-DEFINE_int32 (checkpoint_period_ms, 60000, "the shortest time between checkpoints of the declarations");
-DEFINE_bool (check_settings, false, "only check the settings");
+DEFINE_string (record_trace, "", "file that all events are recorded to, for plankledge-replay --decisions");
+DEFINE_int32 (drain_grace_ms, 1000, "how long a leaving node still accepts requests, in milliseconds");
+DEFINE_int32 (list_period_ms, 2000, "minimum interval between reads of the instance list, in milliseconds");
+DEFINE_int32 (log_period_ms, 1000, "minimum interval between reads of the log, in milliseconds");
+DEFINE_int32 (checkpoint_period_ms, 60000,
+              "minimum interval between checkpoints of the declarations, in milliseconds");
+DEFINE_bool (check_settings, false, "check the settings and exit");
 
 namespace
 {
@@ -35,7 +36,7 @@
 
 NodeOptions readOptions (SettingsCheck& check)
 {
-    constexpr std::int64_t longestMs = 3600000;
+    constexpr std::int64_t maxMs = 3600000;
     NodeOptions options;
     auto& self = options.m_settings.m_self;
     self.m_id = { check.name ("instance", FLAGS_instance), newIncarnation() };
@@ -51,9 +52,9 @@
     check.oneOf ("policy", FLAGS_policy, { "plankledge", "baseline" });
     check.oneOf ("log_level", FLAGS_log_level, { "debug", "info", "warning", "error" });
     check.inRange ("drain_grace_ms", FLAGS_drain_grace_ms, 0, 5000);
-    check.inRange ("list_period_ms", FLAGS_list_period_ms, 50, longestMs);
-    check.inRange ("log_period_ms", FLAGS_log_period_ms, 50, longestMs);
-    check.inRange ("checkpoint_period_ms", FLAGS_checkpoint_period_ms, 100, longestMs);
+    check.inRange ("list_period_ms", FLAGS_list_period_ms, 50, maxMs);
+    check.inRange ("log_period_ms", FLAGS_log_period_ms, 50, maxMs);
+    check.inRange ("checkpoint_period_ms", FLAGS_checkpoint_period_ms, 100, maxMs);
 
     options.m_settings.m_policy = FLAGS_policy == "baseline" ? PolicyKind::baseline : PolicyKind::plankledge;
     options.m_settings.m_drainGrace = Milliseconds (FLAGS_drain_grace_ms);
--- a/programs/plankledge-replay.cpp
+++ b/programs/plankledge-replay.cpp
@@ -1,5 +1,5 @@
-/*  plankledge-replay: sends a scenario's callers to running nodes and reports, or replays a node's recorded
-   decisions. See docs/MEASUREMENTS.md. */
+/*  plankledge-replay: runs a load scenario against running nodes and reports the results, or replays a node's
+    recorded events and compares the effects. See docs/MEASUREMENTS.md. */
 
 #include "plankledge_load/plankledge_load.h"
 #include "plankledge_runtime/HttpClient.h"
@@ -12,11 +12,12 @@
 #include <gflags/gflags.h>
 #include <iterator>
 
-DEFINE_string (decisions, "", "a trace that a node recorded: replays it and compares the effects");
-DEFINE_string (scenario, "", "a scenario to send");
-DEFINE_string (entries, "", "where to: service=IP:PORT+IP:PORT,service=…");
-DEFINE_string (targets, "", "the slow service's targets, to be told of the trigger: IP:PORT+IP:PORT");
-DEFINE_string (report, "", "a file for the report as JSON; empty: standard output only");
+DEFINE_string (decisions, "", "trace file recorded by a node; replays it and compares the effects");
+DEFINE_string (scenario, "", "scenario file to run");
+DEFINE_string (entries, "", "nodes that receive the requests: service=IP:PORT+IP:PORT,service=…");
+DEFINE_string (targets, "",
+               "targets of the slow service, whose service time the trigger changes: IP:PORT+IP:PORT");
+DEFINE_string (report, "", "file that the report is written to as JSON; empty: standard output only");
 
 namespace
 {
@@ -54,7 +55,7 @@
     return 0;
 }
 
-/** Tells the slow service's targets how long they take from now on. */
+/** Sets the service time of the slow service's targets. */
 void setServiceTime (const std::vector<Endpoint>& targets, double milliseconds)
 {
     for (const auto& target : targets)
@@ -77,8 +78,8 @@
                     group.m_offered, group.m_completed, group.m_ideal,
                     static_cast<double> (group.m_completed) / group.m_ideal, group.m_p50Ms, group.m_p99Ms);
 
-    fmt::print ("recovery of goodput {:.1f} s, with latency {:.1f} s, sendings per request {:.2f}, worst "
-                "lateness of the load {:.1f} ms\n",
+    fmt::print ("recovery of goodput {:.1f} s, of goodput and latency {:.1f} s, attempts per request {:.2f}, "
+                "maximum lateness of the load generator {:.1f} ms\n",
                 report.m_goodputRecoverySeconds, report.m_recoverySeconds, report.m_sendingsPerRequest,
                 report.m_worstLatenessMs);
 }
@@ -115,8 +116,8 @@
 
     if (! trigger.m_slowService.empty())
         runner.m_onTrigger = [&] (bool begins) {
-            const auto usual = scenario->m_services.at (trigger.m_slowService).m_serviceMs;
-            setServiceTime (targets, begins ? usual * trigger.m_slowFactor : usual);
+            const auto normalMs = scenario->m_services.at (trigger.m_slowService).m_serviceMs;
+            setServiceTime (targets, begins ? normalMs * trigger.m_slowFactor : normalMs);
         };
 
     const auto results = runner.run (arrivals);
@@ -142,6 +143,6 @@
     if (! FLAGS_scenario.empty())
         return sendScenario();
 
-    fmt::print (stderr, "give --decisions or --scenario\n");
+    fmt::print (stderr, "either --decisions or --scenario is required\n");
     return exitBadSettings;
 }
