--- a/standins/standin-platform.cpp
+++ b/standins/standin-platform.cpp
@@ -1,5 +1,5 @@
-/*  standin-platform: takes the platform's place in tests: an append-only log with offsets and a list of
-    instances, both over HTTP and JSON, with faults that are switched on at /control. Keeps all in memory. */
+/*  standin-platform: in-memory fake of the platform for tests: an append-only log with offsets and a list of
+    instances, both over HTTP and JSON. Faults are injected at /control. */
 
 #include "plankledge_core/Time.h"
 #include "plankledge_runtime/HttpServer.h"
@@ -15,9 +15,11 @@
 #include <map>
 #include <memory>
 
-DEFINE_string (listen, "127.0.0.1:7100", "IP:PORT to serve on");
-DEFINE_int32 (expiry_ms, 5000, "an instance that stopped renewing is listed that long: the list's lag");
-DEFINE_int32 (keep_records, 0, "records kept in a stream; 0: all");
+DEFINE_string (listen, "127.0.0.1:7100", "IP:PORT to listen on");
+DEFINE_int32 (
+    expiry_ms, 5000,
+    "time after which an instance that stopped renewing its entry is no longer listed, in milliseconds");
+DEFINE_int32 (keep_records, 0, "maximum number of records kept per stream; 0: unlimited");
 
 namespace
 {
@@ -25,7 +27,7 @@
 using namespace plankledge;
 namespace json = boost::json;
 
-constexpr std::size_t largestPage = 1000;
+constexpr std::size_t maxPageSize = 1000;
 
 struct Stream
 {
@@ -34,7 +36,7 @@
 
     std::int64_t next() const { return m_earliest + static_cast<std::int64_t> (m_records.size()); }
 
-    void keepOnly (std::size_t count)
+    void truncateTo (std::size_t count)
     {
         while (m_records.size() > count)
         {
@@ -44,20 +46,20 @@
     }
 };
 
-struct Listed
+struct ListEntry
 {
     json::object m_entry;
-    Time m_renewed;
+    Time m_renewedAt;
 };
 
-/** Faults in force. */
+/** Injected faults. */
 struct Faults
 {
-    bool m_isDown = false;       /**< everything answers 503 */
+    bool m_isDown = false;       /**< all paths answer 503 */
     bool m_isLogDown = false;    /**< the streams answer 503 */
     bool m_isListDown = false;   /**< the list answers 503 */
-    bool m_losesAnswers = false; /**< appends take effect, their answers say 503 */
-    int m_delayMs = 0;           /**< before every answer */
+    bool m_losesAnswers = false; /**< appends take effect, but answer 503 */
+    int m_delayMs = 0;           /**< added before each answer, in milliseconds */
 };
 
 //==============================================================================
@@ -91,16 +93,16 @@
             return control (request);
 
         if (m_faults.m_isDown)
-            return plain (503, "down");
+            return messageResponse (503, "down");
 
         if (path == "/instances")
-            return m_faults.m_isListDown ? plain (503, "down") : list (request);
+            return m_faults.m_isListDown ? messageResponse (503, "down") : list (request);
 
         if (path.starts_with ("/instances/"))
             return renew (std::string (path.substr (11)), request);
 
         if (path.starts_with ("/streams/") && m_faults.m_isLogDown)
-            return plain (503, "down");
+            return messageResponse (503, "down");
 
         if (path.starts_with ("/streams/"))
         {
@@ -108,10 +110,10 @@
             return request.m_method == "POST" ? append (stream, request) : read (stream, request);
         }
 
-        return plain (404, "no such thing");
+        return messageResponse (404, "unknown path");
     }
 
-    static HttpResponse plain (std::uint16_t status, const std::string& text)
+    static HttpResponse messageResponse (std::uint16_t status, const std::string& text)
     {
         return {
             status, {}, "application/json", json::serialize (json::object { { "message", text } }), false
@@ -124,7 +126,7 @@
         const auto value = json::parse (request.m_body, error);
 
         if (error || ! value.is_object())
-            return plain (400, "not an object");
+            return messageResponse (400, "not an object");
 
         const auto& object = value.as_object();
 
@@ -145,9 +147,9 @@
 
         if (const auto* keep = object.if_contains ("truncate_to"))
             for (auto& [name, stream] : m_streams)
-                stream.keepOnly (static_cast<std::size_t> (keep->as_int64()));
+                stream.truncateTo (static_cast<std::size_t> (keep->as_int64()));
 
-        return plain (200, "ok");
+        return messageResponse (200, "ok");
     }
 
     //==============================================================================
@@ -157,32 +159,32 @@
         const auto offset = stream.next() - 1;
 
         if (FLAGS_keep_records > 0)
-            stream.keepOnly (static_cast<std::size_t> (FLAGS_keep_records));
+            stream.truncateTo (static_cast<std::size_t> (FLAGS_keep_records));
 
         if (m_faults.m_losesAnswers)
-            return plain (503, "the answer got lost");
+            return messageResponse (503, "simulated loss of the response");
 
         return { 200, {}, "application/json", fmt::format (R"({{"offset":{}}})", offset), false };
     }
 
-    static std::int64_t parameter (const std::string& target, const std::string& name, std::int64_t otherwise)
+    static std::int64_t parameter (const std::string& target, const std::string& name, std::int64_t fallback)
     {
         const auto at = target.find (name + "=");
         std::int64_t value = 0;
 
         if (at == std::string::npos)
-            return otherwise;
+            return fallback;
 
         const auto from = at + name.size() + 1;
         const auto text = target.substr (from, target.find ('&', from) - from);
-        return absl::SimpleAtoi (text, &value) ? value : otherwise;
+        return absl::SimpleAtoi (text, &value) ? value : fallback;
     }
 
     static HttpResponse read (const Stream& stream, const HttpRequest& request)
     {
         const auto from = std::max (stream.m_earliest, parameter (request.m_target, "from", 0));
         const auto limit =
-            std::min<std::int64_t> (largestPage, parameter (request.m_target, "limit", largestPage));
+            std::min<std::int64_t> (maxPageSize, parameter (request.m_target, "limit", maxPageSize));
         json::array records;
         auto offset = from;
 
@@ -203,24 +205,24 @@
         if (request.m_method == "DELETE")
         {
             m_instances.erase (name);
-            return plain (200, "gone");
+            return messageResponse (200, "gone");
         }
 
         boost::system::error_code error;
         auto value = json::parse (request.m_body, error);
 
         if (error || ! value.is_object())
-            return plain (400, "not an object");
+            return messageResponse (400, "not an object");
 
         m_instances[name] = { value.as_object(), BootClock::now() };
-        return plain (200, "listed");
+        return messageResponse (200, "listed");
     }
 
     HttpResponse list (const HttpRequest& request)
     {
         const auto now = BootClock::now();
         std::erase_if (m_instances, [now] (const auto& entry) {
-            return now - entry.second.m_renewed > Milliseconds (FLAGS_expiry_ms);
+            return now - entry.second.m_renewedAt > Milliseconds (FLAGS_expiry_ms);
         });
 
         json::array entries;
@@ -240,14 +242,14 @@
     boost::asio::io_context& m_context;
     Faults m_faults;
     std::map<std::string, Stream> m_streams;
-    std::map<std::string, Listed> m_instances;
+    std::map<std::string, ListEntry> m_instances;
 };
 
 } // namespace
 
 int main (int argc, char** argv)
 {
-    gflags::SetUsageMessage ("a small stand-in for the platform's log and list");
+    gflags::SetUsageMessage ("in-memory fake of the platform's log and instance list");
     gflags::ParseCommandLineFlags (&argc, &argv, true);
     SettingsCheck check;
     const auto endpoint = check.endpoint ("listen", FLAGS_listen);
--- a/standins/standin-target.cpp
+++ b/standins/standin-target.cpp
@@ -1,6 +1,5 @@
-/*  standin-target: takes a target's place in tests: slots, a service time, calls to further services through
-   its node, drain, cancellation, slowness and failures that are switched on at /control. Counts what it ran
-   at /runs. */
+/*  standin-target: fake target for tests, with slots, a service time, calls to further services through its
+    node, drain and cancellation. Faults are injected at /control; /runs reports what it ran. */
 
 #include "plankledge_core/Random.h"
 #include "plankledge_core/Time.h"
@@ -20,19 +19,19 @@
 #include <map>
 #include <memory>
 
-DEFINE_string (listen, "", "IP:PORT to serve on");
+DEFINE_string (listen, "", "IP:PORT to listen on");
 DEFINE_string (instance, "", "this instance's name");
 DEFINE_string (service, "", "its service");
 DEFINE_string (zone, "a", "its availability zone");
 DEFINE_string (outbound, "", "IP:PORT of its node's outbound address");
-DEFINE_string (platform, "", "IP:PORT of the platform; empty: does not list itself");
-DEFINE_int32 (node_port, 7001, "its node's peer port, for the list");
-DEFINE_int32 (slots, 10, "requests it runs at the same time; the others wait");
-DEFINE_double (service_ms, 5, "the time a request takes, without its calls; plus or minus a half");
-DEFINE_string (calls, "",
-               "the calls an operation makes, one after another: lodge=plans/deliver+corrections/apply;…");
-DEFINE_int32 (shed_beyond, 1000000, "requests waiting beyond which it answers 503");
-DEFINE_int32 (drain_ms, 3000, "the shortest time from being told to stop until the end");
+DEFINE_string (platform, "", "IP:PORT of the platform; empty: does not register with its instance list");
+DEFINE_int32 (node_port, 7001, "its node's peer port, for the instance list");
+DEFINE_int32 (slots, 10, "maximum number of concurrent requests; further ones are queued");
+DEFINE_double (service_ms, 5,
+               "mean service time without calls, in milliseconds; uniformly distributed within 50% of it");
+DEFINE_string (calls, "", "sequential calls of each operation: lodge=plans/deliver+corrections/apply;…");
+DEFINE_int32 (shed_beyond, 1000000, "queue length from which further requests are answered 503");
+DEFINE_int32 (drain_ms, 3000, "minimum time from the stop signal until the process exits, in milliseconds");
 
 namespace
 {
@@ -40,7 +39,7 @@
 using namespace plankledge;
 namespace json = boost::json;
 
-/** One request from its arrival to its answer. */
+/** A request in progress. */
 struct Job
 {
     explicit Job (boost::asio::io_context& context)
@@ -57,7 +56,7 @@
     CallId m_call = 0;
     std::size_t m_callNumber = 0;
     bool m_isRunning = false;
-    bool m_isOver = false;
+    bool m_isFinished = false;
     bool m_hasFailed = false;
 };
 
@@ -91,13 +90,13 @@
     {
         if (request.m_target == "/health" || request.m_target == "/runs" || request.m_target == "/control")
         {
-            respond (answerSelf (request));
+            respond (answerAdmin (request));
             return {};
         }
 
-        if (m_waiting.size() >= static_cast<std::size_t> (FLAGS_shed_beyond))
+        if (m_queue.size() >= static_cast<std::size_t> (FLAGS_shed_beyond))
         {
-            respond (make (503, R"({"message":"shedding"})"));
+            respond (makeResponse (503, R"({"message":"shedding"})"));
             return {};
         }
 
@@ -106,12 +105,12 @@
         job->m_operation = std::string (path.substr (path.find ('/', 1) + 1));
         job->m_request = std::move (request);
         job->m_respond = std::move (respond);
-        m_waiting.push_back (job);
+        m_queue.push_back (job);
         startNext();
         return [this, job] { cancel (job); };
     }
 
-    void keepListed()
+    void renewListing()
     {
         if (m_platform.has_value())
         {
@@ -131,7 +130,7 @@
         m_listTimer.expires_after (std::chrono::seconds (1));
         m_listTimer.async_wait ([this] (const boost::system::error_code& error) {
             if (! error)
-                keepListed();
+                renewListing();
         });
     }
 
@@ -141,23 +140,23 @@
     {
         m_isDraining = true;
         m_drainStarted = BootClock::now();
-        keepListed();
-        checkDrained();
+        renewListing();
+        exitWhenDrained();
     }
 
 private:
-    void checkDrained()
+    void exitWhenDrained()
     {
-        const bool hasWaited = BootClock::now() - m_drainStarted >= Milliseconds (FLAGS_drain_ms);
+        const bool hasGracePassed = BootClock::now() - m_drainStarted >= Milliseconds (FLAGS_drain_ms);
 
-        if (hasWaited && m_running == 0 && m_waiting.empty())
+        if (hasGracePassed && m_running == 0 && m_queue.empty())
             return m_context.stop();
 
         m_drainTimer.expires_after (std::chrono::milliseconds (50));
-        m_drainTimer.async_wait ([this] (const auto&) { checkDrained(); });
+        m_drainTimer.async_wait ([this] (const auto&) { exitWhenDrained(); });
     }
 
-    HttpResponse make (std::uint16_t status, std::string body) const
+    HttpResponse makeResponse (std::uint16_t status, std::string body) const
     {
         HttpResponse response;
         response.m_status = status;
@@ -166,24 +165,24 @@
         return response;
     }
 
-    HttpResponse answerSelf (const HttpRequest& request)
+    HttpResponse answerAdmin (const HttpRequest& request)
     {
         if (request.m_target == "/health")
-            return make (200, R"({"state":"up"})");
+            return makeResponse (200, R"({"state":"up"})");
 
         if (request.m_target == "/control")
             return control (request);
 
         json::object runs;
 
-        for (const auto& [name, count] : m_runs)
+        for (const auto& [name, count] : m_runsByKey)
             runs[name] = count;
 
-        return make (200, json::serialize (json::object { { "total", m_total },
-                                                          { "cancelled", m_cancelled },
-                                                          { "running", m_running },
-                                                          { "slot_ms", m_slotTime.count() / 1000 },
-                                                          { "runs", std::move (runs) } }));
+        return makeResponse (200, json::serialize (json::object { { "total", m_total },
+                                                                  { "cancelled", m_cancelled },
+                                                                  { "running", m_running },
+                                                                  { "slot_ms", m_slotTime.count() / 1000 },
+                                                                  { "runs", std::move (runs) } }));
     }
 
     HttpResponse control (const HttpRequest& request)
@@ -192,7 +191,7 @@
         const auto value = json::parse (request.m_body, error);
 
         if (error || ! value.is_object())
-            return make (400, R"({"message":"not an object"})");
+            return makeResponse (400, R"({"message":"not an object"})");
 
         if (const auto* time = value.as_object().if_contains ("service_ms"))
             m_serviceMs = time->to_number<double>();
@@ -200,18 +199,18 @@
         if (const auto* failing = value.as_object().if_contains ("failing"))
             m_isFailing = failing->as_bool();
 
-        return make (200, "{}");
+        return makeResponse (200, "{}");
     }
 
     //==============================================================================
     void startNext()
     {
-        while (m_running < FLAGS_slots && ! m_waiting.empty())
+        while (m_running < FLAGS_slots && ! m_queue.empty())
         {
-            const auto job = m_waiting.front();
-            m_waiting.pop_front();
+            const auto job = m_queue.front();
+            m_queue.pop_front();
 
-            if (! job->m_isOver)
+            if (! job->m_isFinished)
                 start (job);
         }
     }
@@ -221,18 +220,18 @@
         const auto key = std::string (findHeader (job->m_request.m_headers, "Idempotency-Key"));
         ++m_running;
         ++m_total;
-        ++m_runs[key.empty() ? job->m_request.m_target : key];
+        ++m_runsByKey[key.empty() ? job->m_request.m_target : key];
         job->m_isRunning = true;
 
         if (const auto calls = m_calls.find (job->m_operation); calls != m_calls.end())
             job->m_calls.assign (calls->second.begin(), calls->second.end());
 
-        const auto half = static_cast<std::uint64_t> (m_serviceMs * 500.0);
-        const auto time = Duration (static_cast<Duration::rep> (half + m_random.below (2 * half + 1)));
+        const auto halfUs = static_cast<std::uint64_t> (m_serviceMs * 500.0);
+        const auto time = Duration (static_cast<Duration::rep> (halfUs + m_random.below (2 * halfUs + 1)));
         m_slotTime += time;
         job->m_timer.expires_after (time);
         job->m_timer.async_wait ([this, job] (const boost::system::error_code& error) {
-            if (! error && ! job->m_isOver)
+            if (! error && ! job->m_isFinished)
                 callNext (job);
         });
     }
@@ -246,7 +245,7 @@
         const auto key = findHeader (incoming.m_headers, "Idempotency-Key");
         HttpRequest request;
         request.m_method = "POST";
-        request.m_target = fmt::format ("/{}{}", job->m_calls.front(), query (incoming.m_target));
+        request.m_target = fmt::format ("/{}{}", job->m_calls.front(), queryOf (incoming.m_target));
         request.m_contentType = incoming.m_contentType;
         request.m_body = incoming.m_body;
         request.m_headers = { { "Plankledge-Request-Id",
@@ -254,7 +253,7 @@
 
         if (! key.empty())
         {
-            // Work with a key runs at most once here, so its calls are first attempts.
+            // A request with a key runs at most once here, so its calls are first attempts.
             request.m_headers.emplace_back ("Idempotency-Key",
                                             fmt::format ("{}.{}", key, ++job->m_callNumber));
             request.m_headers.emplace_back ("Plankledge-Attempt", "1");
@@ -262,11 +261,11 @@
 
         job->m_calls.pop_front();
         job->m_call = ++m_lastCall;
-        m_byCall[job->m_call] = job;
+        m_jobsByCall[job->m_call] = job;
         m_outbound.send (job->m_call, m_outboundEndpoint, std::move (request));
     }
 
-    static std::string query (const std::string& target)
+    static std::string queryOf (const std::string& target)
     {
         const auto at = target.find ('?');
         return at == std::string::npos ? std::string() : target.substr (at);
@@ -274,18 +273,18 @@
 
     void onCallCompleted (CallId call, const TargetClient::Answer& answer)
     {
-        const auto found = m_byCall.find (call);
+        const auto found = m_jobsByCall.find (call);
 
-        if (found == m_byCall.end())
+        if (found == m_jobsByCall.end())
             return;
 
         const auto job = found->second;
-        m_byCall.erase (found);
+        m_jobsByCall.erase (found);
         const auto* response = std::get_if<HttpResponse> (&answer);
-        const bool isGood = response != nullptr && response->m_status == 200;
-        job->m_hasFailed = ! isGood;
+        const bool isSuccess = response != nullptr && response->m_status == 200;
+        job->m_hasFailed = ! isSuccess;
 
-        if (isGood)
+        if (isSuccess)
         {
             boost::system::error_code error;
             job->m_results.push_back (json::parse (response->m_body, error));
@@ -302,27 +301,27 @@
                                   { "operation", job->m_operation },
                                   { "body", job->m_request.m_body },
                                   { "calls", job->m_results } };
-        const bool isBad = job->m_hasFailed || m_isFailing;
-        job->m_respond (make (isBad ? 502 : 200, json::serialize (body)));
+        const bool isFailure = job->m_hasFailed || m_isFailing;
+        job->m_respond (makeResponse (isFailure ? 502 : 200, json::serialize (body)));
         startNext();
     }
 
     void cancel (const JobPointer& job)
     {
-        if (job->m_isOver)
+        if (job->m_isFinished)
             return;
 
         ++m_cancelled;
         end (job);
         job->m_timer.cancel();
         m_outbound.abandon (job->m_call);
-        m_byCall.erase (job->m_call);
+        m_jobsByCall.erase (job->m_call);
         startNext();
     }
 
     void end (const JobPointer& job)
     {
-        job->m_isOver = true;
+        job->m_isFinished = true;
 
         if (job->m_isRunning)
             --m_running;
@@ -337,9 +336,9 @@
     Random m_random;
     std::optional<Endpoint> m_platform;
     std::map<std::string, std::vector<std::string>> m_calls;
-    std::deque<JobPointer> m_waiting;
-    std::map<CallId, JobPointer> m_byCall;
-    std::map<std::string, std::int64_t> m_runs;
+    std::deque<JobPointer> m_queue;
+    std::map<CallId, JobPointer> m_jobsByCall;
+    std::map<std::string, std::int64_t> m_runsByKey;
     std::int64_t m_total = 0;
     std::int64_t m_cancelled = 0;
     Duration m_slotTime {};
@@ -355,7 +354,7 @@
 
 int main (int argc, char** argv)
 {
-    gflags::SetUsageMessage ("a small stand-in for a target");
+    gflags::SetUsageMessage ("fake target for tests");
     gflags::ParseCommandLineFlags (&argc, &argv, true);
     SettingsCheck check;
     const auto endpoint = check.endpoint ("listen", FLAGS_listen);
@@ -385,7 +384,7 @@
     if (! FLAGS_platform.empty())
         target.setPlatform (platform);
 
-    target.keepListed();
+    target.renewListing();
     boost::asio::signal_set signals (context, SIGTERM, SIGINT);
     signals.async_wait ([&target] (const auto& error, int) {
         if (! error)
