--- a/tests/platform/BadRecordsFuzz_test.cpp
+++ b/tests/platform/BadRecordsFuzz_test.cpp
@@ -1,6 +1,5 @@
-/*  Other writers may say anything where a node reads: announcements, records of the store and its pages,
-    configurations, frames. Valid inputs are spoiled at random; nothing may crash, and what is taken in all
-   the same must be whole. */
+/*  Fuzzes the decoders of announcements, store records and pages, configurations and frames with random
+    mutations of valid inputs. Nothing may crash, and whatever is accepted must be valid. */
 
 #include "plankledge_formats/PlatformJson.h"
 #include "plankledge_policy/relay/gate/LocalTarget.h"
@@ -22,16 +21,16 @@
 namespace
 {
 
-/** Inputs of each kind, unless the environment asks for more. */
-constexpr unsigned usualTrials = 40000;
+/** Inputs per test; PLANKLEDGE_FUZZ_TRIALS overrides it. */
+constexpr unsigned defaultTrials = 40000;
 
 unsigned trials()
 {
     const auto* text = std::getenv ("PLANKLEDGE_FUZZ_TRIALS");
-    return text != nullptr ? static_cast<unsigned> (std::strtoul (text, nullptr, 10)) : usualTrials;
+    return text != nullptr ? static_cast<unsigned> (std::strtoul (text, nullptr, 10)) : defaultTrials;
 }
 
-const ExpectedTarget place { "huvo", "a", "10.128.0.9" };
+const ExpectedTarget expectedTarget { "huvo", "a", "10.128.0.9" };
 
 const std::string announcement =
     R"({"service":"huvo","address":"10.128.0.9:8080","zone":"a","version":"v1","slots":168,)"
@@ -49,19 +48,20 @@
     R"("listeners":[{"host":"a.example","ruleSet":[{"name":"r1","public":false,"match":{"pathPrefix":"/p/"},)"
     R"("action":{"service":"huvo"}}]}]})";
 
-/** Changes a text in one to four places: a byte, a piece left out, doubled or moved, a number put in. */
-class Spoiler
+/** Mutates a text at up to four places: replaces a byte, deletes or duplicates a part, truncates the text,
+    or replaces a part by a JSON fragment. */
+class Mutator
 {
 public:
-    explicit Spoiler (std::uint32_t seed)
+    explicit Mutator (std::uint32_t seed)
         : m_random (seed)
     {
     }
 
-    std::string spoil (std::string text)
+    std::string mutate (std::string text)
     {
-        for (auto left = 1 + below (4); left > 0 && ! text.empty(); --left)
-            change (text);
+        for (auto count = 1 + below (4); count > 0 && ! text.empty(); --count)
+            mutateOnce (text);
 
         return text;
     }
@@ -69,11 +69,11 @@
 private:
     std::size_t below (std::size_t bound) { return m_random() % bound; }
 
-    void change (std::string& text)
+    void mutateOnce (std::string& text)
     {
-        static const char* const pieces[] = { "-1",      "1e300", "null", "true", "\"\"",
-                                              "{}",      "[]",    "\xff", "0.5",  "9223372036854775808",
-                                              "\\u0000", "," };
+        static const char* const fragments[] = { "-1",      "1e300", "null", "true", "\"\"",
+                                                 "{}",      "[]",    "\xff", "0.5",  "9223372036854775808",
+                                                 "\\u0000", "," };
         const auto at = below (text.size());
         const auto length = 1 + below (12);
 
@@ -92,7 +92,7 @@
             text.resize (at);
             return;
         default:
-            text.replace (at, length, pieces[below (std::size (pieces))]);
+            text.replace (at, length, fragments[below (std::size (fragments))]);
         }
     }
 
@@ -102,27 +102,27 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a spoiled announcement is refused, or it is whole and of this node's target")
+TEST_CASE ("a mutated announcement is rejected, or it is valid and from this node's target")
 {
-    Spoiler spoiler (1);
-    unsigned taken = 0;
+    Mutator mutator (1);
+    unsigned accepted = 0;
 
     for (unsigned trial = 0; trial < trials(); ++trial)
     {
         HttpRequest request;
         request.m_method = "PUT";
         request.m_target = "/-/instances/i-1";
-        request.m_body = spoiler.spoil (announcement);
+        request.m_body = mutator.mutate (announcement);
         CAPTURE (request.m_body);
-        const auto decoded = decodeAnnouncement (request, place);
+        const auto decoded = decodeAnnouncement (request, expectedTarget);
         const auto* announced = std::get_if<TargetAnnounced> (&decoded);
 
         if (announced == nullptr)
             continue;
 
-        ++taken;
-        REQUIRE (announced->m_service == place.m_service);
-        REQUIRE (announced->m_endpoint.m_ip == place.m_ip);
+        ++accepted;
+        REQUIRE (announced->m_service == expectedTarget.m_service);
+        REQUIRE (announced->m_endpoint.m_ip == expectedTarget.m_ip);
         REQUIRE (announced->m_endpoint.m_port > 0);
         REQUIRE (announced->m_slots >= 1);
         REQUIRE (announced->m_slots <= 1000000);
@@ -130,19 +130,19 @@
         REQUIRE (announced->m_state != AnnouncedState::gone);
     }
 
-    MESSAGE ("taken: " << taken << " of " << trials());
-    CHECK (taken > 0);
+    MESSAGE ("accepted: " << accepted << " of " << trials());
+    CHECK (accepted > 0);
 }
 
-TEST_CASE ("spoiled records of members are refused, or name an instance at an address")
+TEST_CASE ("mutated member records are rejected, or have an instance name and a port")
 {
-    Spoiler spoiler (2);
+    Mutator mutator (2);
     const auto record =
         encodeJoinRecord ({ { "node-1", 7 }, "plans", "a", { "10.0.0.1", 7000 }, MemberState::serving, 0 });
 
     for (unsigned trial = 0; trial < trials(); ++trial)
     {
-        const auto text = spoiler.spoil (record);
+        const auto text = mutator.mutate (record);
         CAPTURE (text);
         const auto decoded = decodeJoinRecord ({ 1, text });
 
@@ -154,9 +154,9 @@
     }
 }
 
-TEST_CASE ("spoiled pages of the store are refused, or leave out what can't be read")
+TEST_CASE ("mutated store pages are rejected, or skip the records that can't be decoded")
 {
-    Spoiler spoiler (3);
+    Mutator mutator (3);
     const auto read = std::string (7, '\0') + "\2" + std::string (8, '\0') + encodeRecord ("key", "value") +
                       encodeRecord ("other", "");
     const std::string listing =
@@ -164,22 +164,22 @@
 
     for (unsigned trial = 0; trial < trials(); ++trial)
     {
-        if (const auto page = decodeRead (spoiler.spoil (read), 5); page.ok())
+        if (const auto page = decodeRead (mutator.mutate (read), 5); page.ok())
             REQUIRE (page->m_records.size() <= 8);
 
-        if (const auto page = decodeListing (spoiler.spoil (listing)); page.ok())
+        if (const auto page = decodeListing (mutator.mutate (listing)); page.ok())
             REQUIRE (page->m_records.size() <= 8);
     }
 }
 
-TEST_CASE ("spoiled configurations are refused, or have a version")
+TEST_CASE ("mutated configurations are rejected, or have a version")
 {
-    Spoiler spoiler (4);
+    Mutator mutator (4);
     REQUIRE (parseRoutes (routes).ok());
 
     for (unsigned trial = 0; trial < trials() / 4; ++trial)
     {
-        const auto text = spoiler.spoil (routes);
+        const auto text = mutator.mutate (routes);
         CAPTURE (text);
         const auto table = parseRoutes (text);
 
@@ -188,14 +188,14 @@
     }
 }
 
-TEST_CASE ("spoiled organisations are refused, or have names, and each key belongs to one")
+TEST_CASE ("mutated organisations are rejected, or have names and no key in common")
 {
-    Spoiler spoiler (6);
+    Mutator mutator (6);
     REQUIRE (parseRoutes (organisations).ok());
 
     for (unsigned trial = 0; trial < trials() / 4; ++trial)
     {
-        const auto text = spoiler.spoil (organisations);
+        const auto text = mutator.mutate (organisations);
         CAPTURE (text);
         const auto table = parseRoutes (text);
 
@@ -214,16 +214,16 @@
     }
 }
 
-TEST_CASE ("of spoiled credentials none reaches a target")
+TEST_CASE ("mutated credentials are never forwarded to a target")
 {
-    Spoiler spoiler (7);
+    Mutator mutator (7);
 
     for (unsigned trial = 0; trial < trials(); ++trial)
     {
         HttpRequest request;
         request.m_headers = { { "Request-Id", "id" },
-                              { "Authorization", spoiler.spoil ("Bearer 28m82thhkmgjqnirth5m") },
-                              { "Tenant-Id", spoiler.spoil ("liar") } };
+                              { "Authorization", mutator.mutate ("Bearer 28m82thhkmgjqnirth5m") },
+                              { "Tenant-Id", mutator.mutate ("liar") } };
         const auto decoded = decodeRequest (request);
         const auto& received = std::get<RelayRequestReceived> (decoded);
         REQUIRE (received.m_content.m_headers.empty());
@@ -231,9 +231,9 @@
     }
 }
 
-TEST_CASE ("spoiled frames about members and the store are refused, or are whole")
+TEST_CASE ("mutated frames about members and the store are rejected, or are valid")
 {
-    Spoiler spoiler (5);
+    Mutator mutator (5);
     const Member member { { "node-1", 7 }, "plans", "a", { "10.0.0.1", 7000 }, MemberState::serving, 0 };
     const PeerMessage messages[] = {
         PeerHello { member, 3, {}, {}, true, { { 1, 17 }, true, true } },
@@ -253,17 +253,17 @@
     {
         const auto& message = messages[trial % std::size (messages)];
         const auto bytes = encodeFrame ({ protocolVersion, { "node-1", 7 }, "node-3", message });
-        const auto frame = decodeFrame (spoiler.spoil (bytes.substr (frameHeaderBytes)), "node-3");
+        const auto frame = decodeFrame (mutator.mutate (bytes.substr (frameHeaderBytes)), "node-3");
 
         if (! frame.ok())
             continue;
 
-        if (const auto* told = std::get_if<MembersTold> (&frame->m_message))
-            REQUIRE (told->m_members.size() <= 1);
+        if (const auto* update = std::get_if<MembersTold> (&frame->m_message))
+            REQUIRE (update->m_members.size() <= 1);
     }
 }
 
-TEST_CASE ("frames about members and the store come out as they went in")
+TEST_CASE ("frames about members and the store survive encoding and decoding")
 {
     const Member member { { "node-1", 7 }, "plans", "a", { "10.0.0.1", 7000 }, MemberState::serving, 0 };
     const Frame frames[] = {
--- a/tests/platform/Credentials_test.cpp
+++ b/tests/platform/Credentials_test.cpp
@@ -1,5 +1,5 @@
-/*  What a hostile sender may show as a key, or say of whom it speaks for, byte by byte at the socket: none of
-   it reaches a target, and only what is one whole key counts as one. */
+/*  Sends malformed and forged credentials and organisation headers over a socket: none may be forwarded to a
+    target, and only a single well-formed key may be accepted. */
 
 #include "plankledge_runtime/HttpServer.h"
 #include "platform/HttpDialect.h"
@@ -29,8 +29,8 @@
     return { "127.0.0.1", acceptor.local_endpoint().port() };
 }
 
-/** Answers each request with the headers that a target would get of it; the status says how its key was read.
- */
+/** Answers each request with its key and the headers that would be forwarded to a target; the status is 200
+    plus the CredentialKind. */
 struct EchoServer
 {
     EchoServer()
@@ -59,8 +59,8 @@
     {
         auto decoded = decodeRequest (std::move (request));
 
-        if (auto* refused = std::get_if<HttpResponse> (&decoded))
-            return *refused;
+        if (auto* rejection = std::get_if<HttpResponse> (&decoded))
+            return *rejection;
 
         const auto& received = std::get<RelayRequestReceived> (decoded);
         HttpResponse response;
@@ -76,7 +76,7 @@
         return response;
     }
 
-    std::string ask (const std::string& bytes) const
+    std::string exchange (const std::string& bytes) const
     {
         asio::io_context context;
         tcp::socket socket (context);
@@ -96,10 +96,10 @@
 };
 
 constexpr const char* key = "28m82thhkmgjqnirth5m";
-const int keyRead = 201;
+const int keyAccepted = 201;
 const int malformed = 202;
 const int noKey = 200;
-const int notHttp = 400;
+const int badHttp = 400;
 
 std::string withHeaders (const std::string& headers)
 {
@@ -111,7 +111,7 @@
 {
     const char* m_name;
     std::string m_bytes;
-    std::vector<int> m_statuses; /**< any of these */
+    std::vector<int> m_statuses; /**< all that are allowed */
 };
 
 int statusOf (const std::string& answer)
@@ -121,7 +121,7 @@
 
 } // namespace
 
-TEST_CASE ("keys as hostile senders show them")
+TEST_CASE ("malformed and forged credentials are neither accepted nor forwarded")
 {
     const EchoServer server;
     const std::string bearer = std::string ("Authorization: Bearer ") + key;
@@ -130,59 +130,57 @@
         "\r\nTransfer-Encoding: chunked\r\nTrailer: Tenant-Id\r\n\r\n1\r\nx\r\n0\r\nTenant-Id: liar\r\n\r\n";
 
     const std::vector<Row> rows {
-        { "a key", withHeaders (bearer + "\r\n"), { keyRead } },
-        { "the scheme in lower case",
+        { "valid key", withHeaders (bearer + "\r\n"), { keyAccepted } },
+        { "lower-case scheme",
           withHeaders (std::string ("authorization: bearer ") + key + "\r\n"),
-          { keyRead } },
-        { "blanks around it",
+          { keyAccepted } },
+        { "spaces around the key",
           withHeaders (std::string ("Authorization:   Bearer    ") + key + "  \r\n"),
-          { keyRead } },
-        { "none", withHeaders (""), { noKey } },
-        { "two, alike", withHeaders (bearer + "\r\n" + bearer + "\r\n"), { malformed } },
-        { "two, in other letters",
+          { keyAccepted } },
+        { "no Authorization header", withHeaders (""), { noKey } },
+        { "two identical headers", withHeaders (bearer + "\r\n" + bearer + "\r\n"), { malformed } },
+        { "two headers, different case",
           withHeaders (bearer + "\r\nAUTHORIZATION: Bearer other\r\n"),
           { malformed } },
-        { "two in one", withHeaders (bearer + ", Bearer other\r\n"), { malformed } },
-        { "another scheme",
-          withHeaders (std::string ("Authorization: Basic ") + key + "\r\n"),
-          { malformed } },
+        { "two credentials in one header", withHeaders (bearer + ", Bearer other\r\n"), { malformed } },
+        { "wrong scheme", withHeaders (std::string ("Authorization: Basic ") + key + "\r\n"), { malformed } },
         { "no scheme", withHeaders (std::string ("Authorization: ") + key + "\r\n"), { malformed } },
-        { "a scheme and no key", withHeaders ("Authorization: Bearer \r\n"), { malformed } },
-        { "no value", withHeaders ("Authorization:\r\n"), { malformed } },
-        { "a blank within", withHeaders (bearer + " x\r\n"), { malformed } },
-        { "bytes that are no text",
-          withHeaders ("Authorization: Bearer \x80\xff\xfe\r\n"),
-          { malformed, notHttp } },
-        { "600 characters",
+        { "scheme without a key", withHeaders ("Authorization: Bearer \r\n"), { malformed } },
+        { "empty value", withHeaders ("Authorization:\r\n"), { malformed } },
+        { "space within the key", withHeaders (bearer + " x\r\n"), { malformed } },
+        { "non-ASCII bytes", withHeaders ("Authorization: Bearer \x80\xff\xfe\r\n"), { malformed, badHttp } },
+        { "600-character key",
           withHeaders ("Authorization: Bearer " + std::string (600, 'k') + "\r\n"),
           { malformed } },
-        { "16 KB", withHeaders ("Authorization: Bearer " + std::string (16384, 'k') + "\r\n"), { notHttp } },
-        { "a folded line",
+        { "16 KiB key",
+          withHeaders ("Authorization: Bearer " + std::string (16384, 'k') + "\r\n"),
+          { badHttp } },
+        { "folded header line",
           withHeaders (std::string ("Authorization: Bearer\r\n ") + key + "\r\n"),
-          { keyRead, malformed, notHttp } },
-        { "an organisation", withHeaders (bearer + "\r\nTenant-Id: liar\r\n"), { keyRead } },
-        { "an organisation twice, in other letters",
+          { keyAccepted, malformed, badHttp } },
+        { "forged organisation", withHeaders (bearer + "\r\nTenant-Id: liar\r\n"), { keyAccepted } },
+        { "forged organisation twice, different case",
           withHeaders (bearer + "\r\ntenant-id: liar\r\nTENANT-ID: liar\r\n"),
-          { keyRead } },
-        { "an organisation, folded",
+          { keyAccepted } },
+        { "forged organisation, folded header line",
           withHeaders (bearer + "\r\nTenant-Id:\r\n liar\r\n"),
-          { keyRead, notHttp } },
-        { "an organisation in a trailer", chunked, { keyRead, notHttp } },
-        { "an organisation that Connection names",
+          { keyAccepted, badHttp } },
+        { "forged organisation in a trailer", chunked, { keyAccepted, badHttp } },
+        { "forged organisation listed in Connection",
           withHeaders (bearer + "\r\nConnection: Tenant-Id\r\nTenant-Id: liar\r\n"),
-          { keyRead } },
+          { keyAccepted } },
     };
 
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
-        const auto answer = server.ask (row.m_bytes);
+        const auto answer = server.exchange (row.m_bytes);
         const auto status = statusOf (answer);
         CHECK (std::find (row.m_statuses.begin(), row.m_statuses.end(), status) != row.m_statuses.end());
         const auto body = answer.find ("\r\n\r\n");
         REQUIRE (body != std::string::npos);
 
-        if (status == notHttp)
+        if (status == badHttp)
             continue;
 
         const auto headers = answer.substr (answer.find ('\n', body + 4));
@@ -193,7 +191,7 @@
     }
 }
 
-TEST_CASE ("who has no access hears the same, whatever is known of the key")
+TEST_CASE ("all 401 responses are identical, whatever the reason")
 {
     const auto answerTo = [] (Reason reason) {
         return encodeAnswer ("id", { Outcome::notRun, reason, {}, {} });
--- a/tests/platform/HttpDialect_test.cpp
+++ b/tests/platform/HttpDialect_test.cpp
@@ -28,17 +28,17 @@
 };
 
 const AnswerRow answerRows[] = {
-    { "a success", 200, {}, TargetReplyKind::answered },
-    { "the target's own failure", 500, {}, TargetReplyKind::answered },
-    { "the target's own time-out", 504, {}, TargetReplyKind::answered },
-    { "full, and says so", 503, { { "Not-Executed", "1" } }, TargetReplyKind::rejected },
-    { "too many, and says so", 429, { { "not-executed", "1" } }, TargetReplyKind::rejected },
-    { "another instance", 421, { { "Instance-Id", "i-2" } }, TargetReplyKind::rejected },
-    { "a promise that nothing backs", 503, {}, TargetReplyKind::broken },
-    { "another one", 429, {}, TargetReplyKind::broken },
+    { "success", 200, {}, TargetReplyKind::answered },
+    { "internal error of the target", 500, {}, TargetReplyKind::answered },
+    { "timeout of the target", 504, {}, TargetReplyKind::answered },
+    { "503 with Not-Executed", 503, { { "Not-Executed", "1" } }, TargetReplyKind::rejected },
+    { "429 with Not-Executed", 429, { { "not-executed", "1" } }, TargetReplyKind::rejected },
+    { "421 from another instance", 421, { { "Instance-Id", "i-2" } }, TargetReplyKind::rejected },
+    { "503 without Not-Executed", 503, {}, TargetReplyKind::broken },
+    { "429 without Not-Executed", 429, {}, TargetReplyKind::broken },
 };
 
-RelayResult ended (Outcome outcome, Reason reason)
+RelayResult failedResult (Outcome outcome, Reason reason)
 {
     return { outcome, reason, {}, std::chrono::milliseconds (1250) };
 }
@@ -69,7 +69,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a request keeps all that is its own, and loses what concerns one connection")
+TEST_CASE ("a request is forwarded without its hop-by-hop headers")
 {
     HttpRequest request;
     request.m_method = "POST";
@@ -92,10 +92,10 @@
     CHECK (received->m_host == "some.example");
     CHECK (received->m_timeout == Duration (std::chrono::milliseconds (1500)));
     CHECK (received->m_content.m_id == "id-1");
-    const HeaderList kept {
+    const HeaderList forwarded {
         { "Host", "Some.Example:80" }, { "X-Own", "1" }, { "X-Own", "2" }, { "Content-Type", "text/plain" }
     };
-    CHECK (received->m_content.m_headers == kept);
+    CHECK (received->m_content.m_headers == forwarded);
 
     const auto sent = encodeTargetRequest (
         { 1, received->m_content, "web", "i-1", { "10.0.0.1", 1 }, std::chrono::microseconds (700900) });
@@ -108,7 +108,7 @@
     CHECK (findHeader (sent.m_headers, "Request-Id") == "id-1");
 }
 
-TEST_CASE ("a request without an id is not taken; one without or with an odd time is")
+TEST_CASE ("a request without an id is rejected; a missing or malformed Deadline-Ms is ignored")
 {
     HttpRequest request;
     CHECK (std::holds_alternative<HttpResponse> (decodeRequest (request)));
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE ("a target's answer counts as not run only where it says so itself")
+TEST_CASE ("a target's response counts as a rejection only if it confirms that the request did not run")
 {
     for (const auto& row : answerRows)
     {
@@ -132,30 +132,30 @@
     }
 }
 
-TEST_CASE ("an answer goes back unchanged; a failure of our own carries nothing of a target's")
+TEST_CASE ("a target's response is returned unchanged; a node's own error contains nothing from a target")
 {
-    RelayResult whole { Outcome::completed, Reason::none, { 201, { { "Server-Stamp", "s" } }, "body" }, {} };
-    const auto passed = encodeAnswer ("id-1", whole);
-    CHECK (passed.m_status == 201);
-    CHECK (passed.m_body == "body");
-    CHECK (findHeader (passed.m_headers, "Server-Stamp") == "s");
-    CHECK (findHeader (passed.m_headers, "Request-Id") == "id-1");
+    RelayResult result { Outcome::completed, Reason::none, { 201, { { "Server-Stamp", "s" } }, "body" }, {} };
+    const auto returned = encodeAnswer ("id-1", result);
+    CHECK (returned.m_status == 201);
+    CHECK (returned.m_body == "body");
+    CHECK (findHeader (returned.m_headers, "Server-Stamp") == "s");
+    CHECK (findHeader (returned.m_headers, "Request-Id") == "id-1");
 
     for (const auto& row : failureRows)
     {
         CAPTURE (nameOf (row.m_reason));
-        const auto answer = encodeAnswer ("id-1", ended (row.m_outcome, row.m_reason));
+        const auto answer = encodeAnswer ("id-1", failedResult (row.m_outcome, row.m_reason));
         CHECK (answer.m_status == row.m_status);
         CHECK (findHeader (answer.m_headers, "Server-Stamp").empty());
         CHECK (findHeader (answer.m_headers, "Retry-After") == "1.250");
 
-        // These statuses promise that the request did not run.
+        // These statuses tell the sender that the request did not run.
         if (row.m_outcome == Outcome::unknown)
             CHECK ((row.m_status != 503 && row.m_status != 429 && row.m_status != 408));
     }
 }
 
-TEST_CASE ("an answer belongs to the request whose id it names")
+TEST_CASE ("a response is matched to its request by id")
 {
     const HttpHeaders request { { "Request-Id", "id-1" } };
     CHECK (isAnswerTo (request, targetAnswer (200, { { "request-id", "id-1" } })));
@@ -164,10 +164,10 @@
 }
 
 //==============================================================================
-const ExpectedTarget place { "huvo", "a", "10.128.0.9" };
+const ExpectedTarget expectedTarget { "huvo", "a", "10.128.0.9" };
 
-/** @returns an announcement with one field replaced, or left out where the replacement is empty */
-std::string announcedWith (const std::string& field, const std::string& replacement)
+/** @returns an announcement with one field replaced, or omitted if the replacement is empty */
+std::string announcementWith (const std::string& field, const std::string& replacement)
 {
     const std::pair<const char*, const char*> fields[] = {
         { "service", R"("huvo")" }, { "address", R"("10.128.0.9:8080")" },
@@ -228,10 +228,10 @@
     { "born", "1e30", AnnouncementError::badField },
 };
 
-TEST_CASE ("announcements are read")
+TEST_CASE ("announcements are decoded")
 {
-    const auto decoded =
-        decodeAnnouncement (announcement ("PUT", "/-/instances/i-1", announcedWith ("", "")), place);
+    const auto decoded = decodeAnnouncement (
+        announcement ("PUT", "/-/instances/i-1", announcementWith ("", "")), expectedTarget);
     const auto* announced = std::get_if<TargetAnnounced> (&decoded);
     REQUIRE (announced != nullptr);
     CHECK (*announced == TargetAnnounced { "i-1",
@@ -242,33 +242,34 @@
                                            168,
                                            Milliseconds (1764722400123) });
 
-    const auto undated =
-        decodeAnnouncement (announcement ("PUT", "/-/instances/i-1", announcedWith ("born", "")), place);
-    REQUIRE (std::holds_alternative<TargetAnnounced> (undated));
-    CHECK_FALSE (std::get<TargetAnnounced> (undated).m_startedAt.has_value());
+    const auto withoutStartTime = decodeAnnouncement (
+        announcement ("PUT", "/-/instances/i-1", announcementWith ("born", "")), expectedTarget);
+    REQUIRE (std::holds_alternative<TargetAnnounced> (withoutStartTime));
+    CHECK_FALSE (std::get<TargetAnnounced> (withoutStartTime).m_startedAt.has_value());
 
-    const auto gone = decodeAnnouncement (announcement ("DELETE", "/-/instances/i-1", ""), place);
+    const auto gone = decodeAnnouncement (announcement ("DELETE", "/-/instances/i-1", ""), expectedTarget);
     REQUIRE (std::holds_alternative<TargetAnnounced> (gone));
     CHECK (std::get<TargetAnnounced> (gone).m_state == AnnouncedState::gone);
 }
 
-TEST_CASE ("an announcement with one bad field is refused, and why is told")
+TEST_CASE ("an announcement with one bad field is rejected with the matching error")
 {
     for (const auto& row : badFieldRows)
     {
         CAPTURE (row.m_field);
         CAPTURE (row.m_value);
         const auto decoded = decodeAnnouncement (
-            announcement ("PUT", "/-/instances/i-1", announcedWith (row.m_field, row.m_value)), place);
+            announcement ("PUT", "/-/instances/i-1", announcementWith (row.m_field, row.m_value)),
+            expectedTarget);
         REQUIRE (std::holds_alternative<AnnouncementError> (decoded));
         CHECK (nameOf (std::get<AnnouncementError> (decoded)) == nameOf (row.m_error));
         CHECK (encodeAnnouncementError (std::get<AnnouncementError> (decoded)).m_status == 400);
     }
 }
 
-TEST_CASE ("what is no announcement is refused")
+TEST_CASE ("malformed announcements are rejected")
 {
-    const auto body = announcedWith ("", "");
+    const auto body = announcementWith ("", "");
     const HttpRequest bad[] = { announcement ("PUT", "/-/instances/", body),
                                 announcement ("PUT", "/elsewhere/i-1", body),
                                 announcement ("POST", "/-/instances/i-1", body),
@@ -283,7 +284,7 @@
     for (const auto& request : bad)
     {
         CAPTURE (request.m_method + " " + request.m_target + " " + request.m_body);
-        CHECK (std::holds_alternative<AnnouncementError> (decodeAnnouncement (request, place)));
+        CHECK (std::holds_alternative<AnnouncementError> (decodeAnnouncement (request, expectedTarget)));
     }
 }
 
--- a/tests/platform/RoutesJson_test.cpp
+++ b/tests/platform/RoutesJson_test.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("routes are read with their units, and the longest prefix wins")
+TEST_CASE ("routes are parsed with their units, and the longest prefix wins")
 {
     const auto table = parseRoutes (configuration (splitRule + "," + plainRule));
     REQUIRE (table.ok());
@@ -56,7 +56,7 @@
     CHECK (table->shedRankOfPriority (2) == doctest::Approx (0.5));
 }
 
-TEST_CASE ("what is not valid is refused whole")
+TEST_CASE ("an invalid configuration is rejected as a whole")
 {
     const std::string bad[] = { "",
                                 "[]",
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE ("organisations are read, and routes need a key unless they are public")
+TEST_CASE ("organisations are parsed, and routes need a key unless they are public")
 {
     const auto table = parseRoutes (withOrganisations (
         R"([{"name":"one","apiKeys":["k1","k2"],"priority":1,"ratePerS":12.5,"burst":4},)"
@@ -110,16 +110,16 @@
     CHECK_FALSE (table->find ("a.example", "/a/b/x")->m_isPublic);
 }
 
-TEST_CASE ("without a list of organisations no route needs a key; with an empty one they do")
+TEST_CASE ("routes need no key without a list of organisations, but do with an empty one")
 {
     CHECK (parseRoutes (configuration (plainRule))->find ("a.example", "/a/b/x")->m_isPublic);
-    const auto nobody = parseRoutes (withOrganisations ("[]"));
-    REQUIRE (nobody.ok());
-    CHECK (nobody->organisations().areDeclared());
-    CHECK_FALSE (nobody->find ("a.example", "/a/b/x")->m_isPublic);
+    const auto withoutOrganisations = parseRoutes (withOrganisations ("[]"));
+    REQUIRE (withoutOrganisations.ok());
+    CHECK (withoutOrganisations->organisations().areDeclared());
+    CHECK_FALSE (withoutOrganisations->find ("a.example", "/a/b/x")->m_isPublic);
 }
 
-TEST_CASE ("a version with organisations that can't be told apart, or can't be read, is not taken")
+TEST_CASE ("a configuration with ambiguous or malformed organisations is rejected")
 {
     for (const auto* organisations :
          { R"([{"name":"one","apiKeys":["k1"]},{"name":"two","apiKeys":["k2","k1"]}])",
@@ -130,11 +130,12 @@
         CAPTURE (organisations);
         const auto table = parseRoutes (withOrganisations (organisations));
         CHECK_FALSE (table.ok());
-        CHECK (std::string (table.status().message()).find ("k1") == std::string::npos); // no key in a log
+        // Keys must not appear in logs.
+        CHECK (std::string (table.status().message()).find ("k1") == std::string::npos);
     }
 }
 
-TEST_CASE ("numbers that fit no type count as the largest")
+TEST_CASE ("out-of-range numbers are clamped")
 {
     const auto table = parseRoutes (withOrganisations (
         R"([{"name":"one","apiKeys":["k1"],"priority":1e300,"ratePerS":1e300,"burst":-4}])"));
@@ -142,7 +143,7 @@
     CHECK (table->organisations().find ("one")->m_limit == RequestLimit { 1e9, 0.0 });
 }
 
-TEST_CASE ("a configuration of many routes is found through in few steps")
+TEST_CASE ("routes are found in a configuration with many of them")
 {
     std::string rules = plainRule;
 
--- a/tests/platform/Store_test.cpp
+++ b/tests/platform/Store_test.cpp
@@ -19,12 +19,15 @@
 
 constexpr const char* topicName = "keyed.test";
 
-/** Follows a topic of the stand-in and remembers what it was told. */
+/** Follows a topic of the stand-in and records what the hooks deliver. */
 struct Follower
 {
     Follower() { m_topic.follow ({}, {}); }
 
-    /** Runs until the condition holds, or in vain. */
+    /** Runs until the condition holds, for 10 s at most.
+
+        @returns whether it holds
+    */
     bool runUntil (const std::function<bool()>& condition)
     {
         const auto end = std::chrono::steady_clock::now() + seconds (10);
@@ -35,7 +38,7 @@
         return condition();
     }
 
-    bool comesToHold (const std::string& key, const std::string& value)
+    bool waitForValue (const std::string& key, const std::string& value)
     {
         return runUntil ([&] { return m_values.contains (key) && m_values.at (key) == value; });
     }
@@ -44,10 +47,10 @@
     StoreStandin m_store { m_context };
     StoreClient m_client { m_context, m_store.endpoint() };
     std::map<std::string, std::string> m_values;
-    std::map<std::string, std::string> m_confirmed; /**< what was known when it was confirmed last */
-    std::vector<StoreEra> m_eras;                   /**< that the store came back with */
-    unsigned m_lost = 0;
-    unsigned m_regained = 0;
+    std::map<std::string, std::string> m_confirmed; /**< m_values at the last confirmation */
+    std::vector<StoreEra> m_restoredEras;           /**< reported by m_onRestored */
+    unsigned m_lostCount = 0;
+    unsigned m_regainedCount = 0;
     KeyedTopic m_topic { m_context,
                          m_client,
                          topicName,
@@ -56,9 +59,11 @@
                               for (const auto& record : page.m_records)
                                   m_values[record.m_key] = record.m_value;
                           },
-                           [this] (const absl::Status& status) { ++(status.ok() ? m_regained : m_lost); },
+                           [this] (const absl::Status& status) {
+                               ++(status.ok() ? m_regainedCount : m_lostCount);
+                           },
                            [this] (Time) { m_confirmed = m_values; },
-                           [this] (StoreEra era) { m_eras.push_back (era); } } };
+                           [this] (StoreEra era) { m_restoredEras.push_back (era); } } };
 };
 
 struct FaultRow
@@ -73,105 +78,104 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("a topic is listed over all pages, and read on as records come")
+TEST_CASE ("a topic is listed over all pages, then followed")
 {
     Follower follower;
 
     for (const auto* key : { "a", "b", "c", "d", "e", "f", "g" })
         follower.m_store.put (topicName, key, "old");
 
-    CHECK (follower.comesToHold ("g", "old"));
+    CHECK (follower.waitForValue ("g", "old"));
     CHECK (follower.m_values.size() == 7);
     follower.m_store.put (topicName, "d", "new");
-    CHECK (follower.comesToHold ("d", "new"));
+    CHECK (follower.waitForValue ("d", "new"));
     follower.m_store.put (topicName, "d", "");
-    CHECK (follower.comesToHold ("d", ""));
+    CHECK (follower.waitForValue ("d", ""));
 }
 
-TEST_CASE ("a history that is gone leads to a listing")
+TEST_CASE ("a topic is listed again if unread records were compacted away")
 {
     Follower follower;
     follower.m_store.put (topicName, "a", "1");
-    REQUIRE (follower.comesToHold ("a", "1"));
+    REQUIRE (follower.waitForValue ("a", "1"));
 
-    // The read that waits hears of none of these before they are gone.
+    // The waiting read returns none of these records before they are compacted away.
     follower.m_store.setFault (StoreStandin::Fault::unavailable);
     follower.m_store.put (topicName, "a", "2");
-    follower.runUntil ([&] { return follower.m_lost > 0; });
+    follower.runUntil ([&] { return follower.m_lostCount > 0; });
     follower.m_store.put (topicName, "a", "3");
     follower.m_store.put (topicName, "b", "4");
     follower.m_store.compact (topicName);
     follower.m_store.setFault (StoreStandin::Fault::none);
-    CHECK (follower.comesToHold ("b", "4"));
+    CHECK (follower.waitForValue ("b", "4"));
     CHECK (follower.m_values.at ("a") == "3");
 }
 
-TEST_CASE ("while the store fails it is asked again by and by, and its loss and return are told once")
+TEST_CASE ("calls are retried while the store fails, and its loss and return are reported once")
 {
     for (const auto& row : faultRows)
     {
         CAPTURE (row.m_name);
         Follower follower;
         follower.m_store.put (topicName, "a", "1");
-        REQUIRE (follower.comesToHold ("a", "1"));
+        REQUIRE (follower.waitForValue ("a", "1"));
         follower.m_store.setFault (row.m_fault);
-        follower.m_store.put (topicName, "a", "2"); // ends the read that waits
-        REQUIRE (follower.runUntil ([&] { return follower.m_lost == 1 && follower.m_client.calls() > 5; }));
+        follower.m_store.put (topicName, "a", "2"); // ends the waiting read
+        REQUIRE (
+            follower.runUntil ([&] { return follower.m_lostCount == 1 && follower.m_client.calls() > 5; }));
         follower.m_store.setFault (StoreStandin::Fault::none);
         follower.m_store.put (topicName, "a", "3");
-        CHECK (follower.comesToHold ("a", "3"));
-        CHECK (follower.m_lost == 1);
-        CHECK (follower.m_regained == 2);
+        CHECK (follower.waitForValue ("a", "3"));
+        CHECK (follower.m_lostCount == 1);
+        CHECK (follower.m_regainedCount == 2);
     }
 }
 
 //==============================================================================
-/*  A store came back from a copy some seconds old, and others wrote past the place at which a node read on.
-   It went on in the middle: what had been written again before that place was never read, and the rest was
-   taken for all there is. */
-TEST_CASE ("a store that comes back from an older copy is listed again before anything of it is confirmed")
+/*  Regression test: after the store was restored from an older copy and had grown past the read position, a
+    node continued from that position and missed the records rewritten before it. */
+TEST_CASE ("a store restored from an older copy is listed again before anything is confirmed")
 {
     Follower follower;
     follower.m_store.put (topicName, "removed", "1");
-    REQUIRE (follower.comesToHold ("removed", "1"));
+    REQUIRE (follower.waitForValue ("removed", "1"));
     const auto copy = follower.m_store.copy();
     follower.m_store.put (topicName, "kept", "1");
     follower.m_store.put (topicName, "removed", "");
-    REQUIRE (follower.comesToHold ("removed", ""));
+    REQUIRE (follower.waitForValue ("removed", ""));
 
-    // Written again, in another order and behind other records: the place that was read up to lies in the
-    // middle.
+    // Rewritten in another order and after other records, so that the read position lies among them.
     follower.m_store.restore (copy);
     follower.m_store.put (topicName, "removed", "2");
     follower.m_store.put (topicName, "other", "1");
     follower.m_store.put (topicName, "other", "2");
     follower.m_store.put (topicName, "kept", "2");
-    REQUIRE (follower.comesToHold ("kept", "2"));
-    CHECK (follower.comesToHold ("removed", "2"));
+    REQUIRE (follower.waitForValue ("kept", "2"));
+    CHECK (follower.waitForValue ("removed", "2"));
     CHECK (follower.runUntil ([&] { return follower.m_confirmed == follower.m_values; }));
-    CHECK (follower.m_eras == std::vector<StoreEra> { 2 });
+    CHECK (follower.m_restoredEras == std::vector<StoreEra> { 2 });
 }
 
-TEST_CASE ("two copies within a second, the second one while the first is listed")
+TEST_CASE ("a second restore during the listing that the first one caused is detected")
 {
     Follower follower;
 
     for (const auto* key : { "a", "b", "c", "d", "e", "f", "g" })
         follower.m_store.put (topicName, key, "1");
 
-    REQUIRE (follower.comesToHold ("g", "1"));
+    REQUIRE (follower.waitForValue ("g", "1"));
     const auto copy = follower.m_store.copy();
     follower.m_store.put (topicName, "a", "2");
-    REQUIRE (follower.comesToHold ("a", "2"));
+    REQUIRE (follower.waitForValue ("a", "2"));
     follower.m_store.restore (copy);
-    follower.runUntil ([&] { return ! follower.m_eras.empty(); });
+    follower.runUntil ([&] { return ! follower.m_restoredEras.empty(); });
     follower.m_store.restore (copy);
     follower.m_store.put (topicName, "a", "3");
-    CHECK (follower.comesToHold ("a", "3"));
-    CHECK (follower.m_eras == std::vector<StoreEra> { 2, 3 });
+    CHECK (follower.waitForValue ("a", "3"));
+    CHECK (follower.m_restoredEras == std::vector<StoreEra> { 2, 3 });
 }
 
-TEST_CASE ("the era that an answer tells, whatever stands in its header")
+TEST_CASE ("the Store-Era header is decoded, and malformed values are ignored")
 {
     const auto eraOf = [] (const std::string& value) {
         return decodeEra ({ { "Content-Type", "application/json" }, { "Store-Era", value } });
@@ -186,32 +190,32 @@
     }
 }
 
-TEST_CASE ("answers that tell no era are of the one that was heard last, and later ones of an earlier era "
-           "are not believed")
+TEST_CASE (
+    "a response without an era belongs to the latest one received, and one of an earlier era is rejected")
 {
     Follower follower;
     follower.m_store.put (topicName, "a", "1");
-    REQUIRE (follower.comesToHold ("a", "1"));
+    REQUIRE (follower.waitForValue ("a", "1"));
 
-    for (const auto* spoiled : { "-", "none", "99999999999999999999999" })
+    for (const auto* header : { "-", "none", "99999999999999999999999" })
     {
-        CAPTURE (spoiled);
-        follower.m_store.spoilEra (spoiled);
-        follower.m_store.put (topicName, "a", spoiled);
-        CHECK (follower.comesToHold ("a", spoiled));
+        CAPTURE (header);
+        follower.m_store.spoilEra (header);
+        follower.m_store.put (topicName, "a", header);
+        CHECK (follower.waitForValue ("a", header));
     }
 
     follower.m_store.spoilEra ("0");
     follower.m_store.put (topicName, "a", "of the past");
-    CHECK (follower.runUntil ([&] { return follower.m_lost > 0; }));
+    CHECK (follower.runUntil ([&] { return follower.m_lostCount > 0; }));
     CHECK (follower.m_values.at ("a") != "of the past");
     follower.m_store.spoilEra ({});
-    CHECK (follower.comesToHold ("a", "of the past"));
-    CHECK (follower.m_eras.empty());
+    CHECK (follower.waitForValue ("a", "of the past"));
+    CHECK (follower.m_restoredEras.empty());
 }
 
 //==============================================================================
-TEST_CASE ("the node's own record is appended until it is read back")
+TEST_CASE ("the node's member record is appended until it is read back")
 {
     boost::asio::io_context context;
     StoreStandin store (context);
@@ -233,22 +237,22 @@
     runFor (std::chrono::milliseconds (500));
     CHECK_FALSE (store.newest ("keyed.nodes", "node-1").empty());
 
-    // The answer was lost, but the record was read back: it is not written again.
+    // The response was lost, but the record was read back: it is not appended again.
     store.setFault (StoreStandin::Fault::none);
     runFor (std::chrono::milliseconds (2500));
     const auto appends = store.appends();
     CHECK (appends == 1);
 
-    // An append of an earlier life takes effect late.
-    const auto wanted = store.newest ("keyed.nodes", "node-1");
+    // A delayed append of an earlier incarnation takes effect.
+    const auto published = store.newest ("keyed.nodes", "node-1");
     store.put ("keyed.nodes", "node-1", "an older record");
     runFor (std::chrono::milliseconds (2500));
-    CHECK (store.newest ("keyed.nodes", "node-1") == wanted);
+    CHECK (store.newest ("keyed.nodes", "node-1") == published);
     CHECK (store.appends() == appends + 1);
 }
 
 TEST_CASE (
-    "a record under another name than its instance's, and one that can't be read, name and remove nobody")
+    "a record under another instance's key, or one that can't be decoded, neither adds nor removes a member")
 {
     boost::asio::io_context context;
     StoreStandin store (context);
@@ -281,58 +285,58 @@
     for (const auto* name : { "thief", "ghost", "phantom", "spoiled" })
         CHECK (peers.find (name) == nullptr);
 
-    // The good record is spoiled by another writer: the node is still known.
+    // Another writer overwrites the valid record: the node is still known.
     store.put ("keyed.nodes", "good", "no record");
     context.run_for (std::chrono::milliseconds (1000));
     CHECK (peers.find ("good") != nullptr);
 
-    // The own one is: it is written again.
+    // Another writer overwrites this node's record: it is appended again.
     store.put ("keyed.nodes", "node-1", "no record");
     context.run_for (std::chrono::milliseconds (2000));
     CHECK (store.newest ("keyed.nodes", "node-1") != "no record");
 }
 
 //==============================================================================
-TEST_CASE ("answers of the store that can't be read are errors, whatever is wrong with them")
+TEST_CASE ("malformed responses of the store are errors")
 {
-    const auto good = std::string (7, '\0') + "\2" + std::string (8, '\0') + encodeRecord ("key", "value") +
-                      encodeRecord ("other", "");
-    const auto page = decodeRead (good, 5);
+    const auto valid = std::string (7, '\0') + "\2" + std::string (8, '\0') + encodeRecord ("key", "value") +
+                       encodeRecord ("other", "");
+    const auto page = decodeRead (valid, 5);
     REQUIRE (page.ok());
     CHECK (page->m_end == 7);
     REQUIRE (page->m_records.size() == 2);
     CHECK (page->m_records[0] == KeyedRecord { 5, "key", "value" });
     CHECK (page->m_records[1] == KeyedRecord { 6, "other", "" });
 
-    for (std::size_t size = 0; size < good.size(); ++size)
+    for (std::size_t size = 0; size < valid.size(); ++size)
     {
         CAPTURE (size);
-        const auto cut = decodeRead (std::string_view (good).substr (0, size), 5);
+        const auto truncated = decodeRead (std::string_view (valid).substr (0, size), 5);
         const bool isBetweenRecords = size == 16 || size == 16 + encodeRecord ("key", "value").size();
-        CHECK (cut.ok() == isBetweenRecords);
+        CHECK (truncated.ok() == isBetweenRecords);
     }
 
-    const char* const badListings[] = { "", "[]", "{}", R"({"items":{},"endKey":1})",
-                                        R"({"items":[],"endKey":"1"})" };
+    const char* const malformedListings[] = { "", "[]", "{}", R"({"items":{},"endKey":1})",
+                                              R"({"items":[],"endKey":"1"})" };
 
-    for (const auto* text : badListings)
+    for (const auto* text : malformedListings)
     {
         CAPTURE (text);
         CHECK_FALSE (decodeListing (text).ok());
     }
 }
 
-TEST_CASE ("a record that can't be read leaves the others of its page as they are")
+TEST_CASE ("a malformed record does not affect the others of its page")
 {
-    const char* const badItems[] = { "{}",
-                                     "7",
-                                     R"({"tlsKey":7,"value":"","offset":1})",
-                                     R"({"tlsKey":"b","value":"%%","offset":1})",
-                                     R"({"tlsKey":"b","value":null,"offset":1})",
-                                     R"({"tlsKey":"b","value":"eA==","offset":"1"})",
-                                     R"({"value":"eA==","offset":1})" };
-
-    for (const auto* item : badItems)
+    const char* const malformedItems[] = { "{}",
+                                           "7",
+                                           R"({"tlsKey":7,"value":"","offset":1})",
+                                           R"({"tlsKey":"b","value":"%%","offset":1})",
+                                           R"({"tlsKey":"b","value":null,"offset":1})",
+                                           R"({"tlsKey":"b","value":"eA==","offset":"1"})",
+                                           R"({"value":"eA==","offset":1})" };
+
+    for (const auto* item : malformedItems)
     {
         CAPTURE (item);
         const auto page =
@@ -346,7 +350,7 @@
         CHECK (page->m_lastKey == "c");
     }
 
-    // A record whose key is longer than it is, and an empty one, between two good ones.
+    // A record with a key length beyond its end, and an empty one, between two valid ones.
     const std::string bad (std::string ("\0\0\0\2", 4) + "\7k" + std::string (4, '\0'));
     const auto bytes = std::string (7, '\0') + "\4" + std::string (8, '\0') + encodeRecord ("a", "x") + bad +
                        encodeRecord ("c", "y");
@@ -358,7 +362,7 @@
     CHECK (page->m_end == 4);
 }
 
-TEST_CASE ("a listing goes on behind a page of records that can't be read")
+TEST_CASE ("a listing continues after a page with only malformed records")
 {
     const auto page =
         decodeListing (R"({"items":[{"tlsKey":"q","value":"%%","offset":1}],"endKey":4,"morePages":true})");
