--- a/programs/plankctl.cpp
+++ b/programs/plankctl.cpp
@@ -277,7 +277,7 @@
 //==============================================================================
 /** Reads the logs of all nodes.
 
-        @returns nullopt if a file can't be read
+    @returns nullopt if a file can't be read
 */
 std::optional<LogExplainer> readLogs (const std::vector<std::string>& paths)
 {
