--- a/programs/plankctl.cpp
+++ b/programs/plankctl.cpp
@@ -29,8 +29,8 @@
 
 using namespace plankledge;
 
-constexpr int exitDone = 0;
-constexpr int exitFailed = 1;
+constexpr int exitSuccess = 0;
+constexpr int exitFailure = 1;
 constexpr int exitConflict = 3;
 constexpr Duration requestTimeout = std::chrono::seconds (2);
 constexpr std::chrono::milliseconds pollInterval { 100 };
@@ -181,7 +181,7 @@
     for (const auto& node : pendingNodes)
         fmt::print (stderr, "not in force at {}:{}\n", node.m_ip, node.m_port);
 
-    return pendingNodes.empty() ? exitDone : exitFailed;
+    return pendingNodes.empty() ? exitSuccess : exitFailure;
 }
 
 int publish (const std::string& path)
@@ -202,7 +202,7 @@
     if (! proposal.ok())
     {
         fmt::print (stderr, "{}\n", std::string (proposal.status().message()));
-        return exitFailed;
+        return exitFailure;
     }
 
     if (proposal->m_verdict != Verdict::accepted)
@@ -212,7 +212,7 @@
     }
 
     fmt::print ("accepted as version {}\n", proposal->m_version);
-    return FLAGS_wait ? waitUntilInForce (addresses->m_nodes, proposal->m_version) : exitDone;
+    return FLAGS_wait ? waitUntilInForce (addresses->m_nodes, proposal->m_version) : exitSuccess;
 }
 
 int check (const std::string& path)
@@ -221,7 +221,7 @@
         return exitBadSettings;
 
     fmt::print ("{}: valid\n", path);
-    return exitDone;
+    return exitSuccess;
 }
 
 int history()
@@ -238,7 +238,7 @@
     if (! state.ok())
     {
         fmt::print (stderr, "{}\n", std::string (state.status().message()));
-        return exitFailed;
+        return exitFailure;
     }
 
     for (const auto& proposal : publisher.verdicts())
@@ -249,12 +249,12 @@
                     proposal.m_id);
 
     fmt::print ("in force: version {}\n", state->m_version);
-    return exitDone;
+    return exitSuccess;
 }
 
 int show()
 {
-    int result = exitDone;
+    int result = exitSuccess;
 
     for (const auto node : absl::StrSplit (FLAGS_nodes, ',', absl::SkipEmpty()))
     {
@@ -268,7 +268,7 @@
         }
 
         fmt::print (stderr, "{} does not answer\n", std::string (node));
-        result = exitFailed;
+        result = exitFailure;
     }
 
     return result;
@@ -315,7 +315,7 @@
     if (events.empty())
     {
         fmt::print (stderr, "no line of these logs mentions {}\n", request);
-        return exitFailed;
+        return exitFailure;
     }
 
     if (const auto cause = logs->causeOf (request); cause.has_value())
@@ -324,7 +324,7 @@
     else
         fmt::print ("no failure is logged\n");
 
-    return exitDone;
+    return exitSuccess;
 }
 
 int explainAll (const std::vector<std::string>& paths)
@@ -344,7 +344,7 @@
     for (const auto& [count, cause] : rows)
         fmt::print ("{:6}  {}\n", count, cause);
 
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
--- a/programs/plankledge-replay.cpp
+++ b/programs/plankledge-replay.cpp
@@ -51,7 +51,7 @@
         return 1;
     }
 
-    fmt::print ("{} events, {} effects: the same\n", report->m_events, report->m_effects);
+    fmt::print ("{} events, {} effects: identical\n", report->m_events, report->m_effects);
     return 0;
 }
 
