--- a/benchmarks/Reducer_benchmark.cpp
+++ b/benchmarks/Reducer_benchmark.cpp
@@ -142,11 +142,11 @@
 void rumour (benchmark::State& state)
 {
     BenchmarkNode node (state.range (0));
-    Rumour message;
+    GossipMessage message;
     message.m_sender = { { "instance-7", 5 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
 
     for (auto _ : state)
-        benchmark::DoNotOptimize (node.apply (RumourReceived { message }));
+        benchmark::DoNotOptimize (node.apply (GossipReceived { message }));
 }
 
 void fullInstanceList (benchmark::State& state)
--- a/modules/plankledge_core/Declarations.h
+++ b/modules/plankledge_core/Declarations.h
@@ -35,7 +35,7 @@
 {
     PriorityClass m_class = PriorityClass::normal;
     bool m_isRepeatable = true;
-    Milliseconds m_longestWait { 2000 };   /**< upper bound of a call's timeout */
+    Milliseconds m_maxWait { 2000 };       /**< upper bound of a call's timeout */
     std::uint32_t m_retryBudget = 2;       /**< retries allowed over the whole call chain */
     Milliseconds m_recordWindow { 60000 }; /**< how long the outcome of a non-repeatable request is kept */
 
--- a/modules/plankledge_core/LineSink.cpp
+++ b/modules/plankledge_core/LineSink.cpp
@@ -28,7 +28,7 @@
 //==============================================================================
 void LineSink::append (std::string_view line)
 {
-    if (m_pending.size() + line.size() + 1 > mostPendingBytes)
+    if (m_pending.size() + line.size() + 1 > maxPendingBytes)
     {
         ++m_dropped;
         return flush();
--- a/modules/plankledge_core/LineSink.h
+++ b/modules/plankledge_core/LineSink.h
@@ -11,7 +11,7 @@
 /**
     Writes lines to a file descriptor without blocking on a slow reader.
 
-    Lines that can't be written yet are buffered up to mostPendingBytes; further lines are
+    Lines that can't be written yet are buffered up to maxPendingBytes; further lines are
     dropped and counted. Not thread-safe.
 */
 class LineSink
@@ -37,7 +37,7 @@
     std::size_t pending() const noexcept { return m_pending.size(); }
 
     /** Maximum size of the buffer, in bytes. */
-    static constexpr std::size_t mostPendingBytes = 256U << 10U;
+    static constexpr std::size_t maxPendingBytes = 256U << 10U;
 
 private:
     //==============================================================================
--- a/modules/plankledge_core/Logger.cpp
+++ b/modules/plankledge_core/Logger.cpp
@@ -84,7 +84,7 @@
     auto& rateLimit =
         isSampled ? m_sampledRateLimit : m_rateLimits.try_emplace (std::string (event)).first->second;
 
-    if (! count (rateLimit, second, isSampled ? maxSampledLinesPerSecond : floodLimit))
+    if (! count (rateLimit, second, isSampled ? maxSampledLinesPerSecond : maxLinesPerSecond))
         return;
 
     const auto omitted = std::exchange (rateLimit.m_omitted, 0);
--- a/modules/plankledge_core/Logger.h
+++ b/modules/plankledge_core/Logger.h
@@ -31,7 +31,7 @@
     Writes log events as JSON lines, by default to standard output, without blocking on a slow
     reader.
 
-    Each event is limited to floodLimit lines per second; the next line that is written has the
+    Each event is limited to maxLinesPerSecond lines per second; the next line that is written has the
     number of omitted lines. Lines of sampled requests have a limit of their own, so that the trace
     of such a request is complete on all nodes. Request bodies, keys and secrets must not be logged.
     Not thread-safe.
@@ -53,7 +53,7 @@
     Logger& operator= (const Logger&) = delete;
 
     /** Sets the minimum severity of the lines that are written. */
-    void setLowest (Severity minSeverity) noexcept { m_minSeverity = minSeverity; }
+    void setMinSeverity (Severity minSeverity) noexcept { m_minSeverity = minSeverity; }
 
     /** Writes one line.
 
@@ -71,7 +71,7 @@
     std::uint64_t dropped() const noexcept { return m_sink.dropped(); }
 
     /** Maximum number of lines per second and event. */
-    static constexpr unsigned floodLimit = 50;
+    static constexpr unsigned maxLinesPerSecond = 50;
 
     /** Maximum number of lines of sampled requests per second, over all events. */
     static constexpr unsigned maxSampledLinesPerSecond = 500;
--- a/modules/plankledge_core/PeerMessages.h
+++ b/modules/plankledge_core/PeerMessages.h
@@ -33,11 +33,11 @@
 struct LostMemory
 {
     NodeId m_id;
-    Duration m_ago {}; /**< since the loss was detected, at the time of sending */
+    Duration m_timeSinceLoss {}; /**< since the loss was detected, at the time of sending */
 
     auto operator<=> (const LostMemory&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_id, m_ago); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_id, m_timeSinceLoss); }
 };
 
 /** The last known admission threshold of a service. */
@@ -182,11 +182,11 @@
 struct Fence
 {
     std::uint64_t m_keyHash = 0;
-    Duration m_for {}; /**< remaining lifetime of the fence */
+    Duration m_remainingTime {}; /**< remaining lifetime of the fence */
 
     auto operator<=> (const Fence&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_keyHash, m_for); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_keyHash, m_remainingTime); }
 };
 
 /** Sent by a new node to the members of its service, to become a member. */
@@ -236,13 +236,13 @@
     std::string m_key;
     std::uint64_t m_bodyHash = 0;
     CallResult m_result;
-    Duration m_for {}; /**< remaining retention of the record */
+    Duration m_remainingTime {}; /**< remaining retention of the record */
 
     auto operator<=> (const RecordCopy&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
-        archive (m_key, m_bodyHash, m_result, m_for);
+        archive (m_key, m_bodyHash, m_result, m_remainingTime);
     }
 };
 
@@ -313,20 +313,23 @@
     std::variant<CallRequest, CallAnswer, CallCancel, Inquiry, InquiryAnswer, JoinRequest,
                  JoinAcknowledgement, Heartbeat, Handover, HandoverAcknowledgement, LeaveNotice,
                  LeaveAcknowledgement, ConfigurationPull, ConfigurationState, RelayRequest, RelayAnswer,
-                 RelayCancel, PeerHello, PeerStatus, RoutesPull, RoutesText, MembersPull, MembersTold,
-                 ProofQuestion, ProofAnswer, LimitQuestion, LimitAnswer, CrashUpdate, CrashPull>;
+                 RelayCancel, PeerHello, PeerStatus, RoutesPull, RoutesText, MembersPull, MembersUpdate,
+                 ProofQuery, ProofAnswer, LimitQuery, LimitAnswer, CrashUpdate, CrashPull>;
 
 //==============================================================================
 /** A gossip datagram: the sender, its configuration version and recent changes of members. */
-struct Rumour
+struct GossipMessage
 {
     Member m_sender;
     ConfigurationVersion m_version = 0;
-    std::vector<Member> m_news;
+    std::vector<Member> m_memberUpdates;
 
-    auto operator<=> (const Rumour&) const = default;
+    auto operator<=> (const GossipMessage&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_sender, m_version, m_news); }
+    template <class Archive> void serialize (Archive& archive)
+    {
+        archive (m_sender, m_version, m_memberUpdates);
+    }
 };
 
 } // namespace plankledge
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -191,12 +191,12 @@
 using StoreEra = std::uint64_t;
 
 /** A position in a topic of the store, ordered by era, then by offset. */
-struct StorePlace
+struct StorePosition
 {
     StoreEra m_era = 0;
     LogOffset m_offset = -1; /**< -1: unknown */
 
-    auto operator<=> (const StorePlace&) const = default;
+    auto operator<=> (const StorePosition&) const = default;
 
     bool isKnown() const noexcept { return m_offset >= 0; }
 
@@ -206,15 +206,15 @@
 /** A node's state of synchronisation with the platform's store. */
 struct StoreView
 {
-    StorePlace m_membersEnd;    /**< all member records before this position are known */
+    StorePosition m_membersEnd; /**< all member records before this position are known */
     bool m_isFollowing = false; /**< whether it reads from the store itself and sends updates to its peers */
-    bool m_isReached = true;    /**< whether the store answers this node */
+    bool m_isStoreReachable = true; /**< whether the store answers this node */
 
     auto operator<=> (const StoreView&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
-        archive (m_membersEnd, m_isFollowing, m_isReached);
+        archive (m_membersEnd, m_isFollowing, m_isStoreReachable);
     }
 };
 
@@ -261,7 +261,7 @@
 /** Requests the members that changed since the sender's position in the store. */
 struct MembersPull
 {
-    StorePlace m_have; /**< the sender's StoreView::m_membersEnd */
+    StorePosition m_have; /**< the sender's StoreView::m_membersEnd */
 
     auto operator<=> (const MembersPull&) const = default;
 
@@ -269,13 +269,13 @@
 };
 
 /** Answers MembersPull. */
-struct MembersTold
+struct MembersUpdate
 {
     std::vector<Member> m_members;
     std::vector<InstanceName> m_withdrawn;
-    StorePlace m_end; /**< the sender's StoreView::m_membersEnd */
+    StorePosition m_end; /**< the sender's StoreView::m_membersEnd */
 
-    auto operator<=> (const MembersTold&) const = default;
+    auto operator<=> (const MembersUpdate&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_members, m_withdrawn, m_end); }
 };
@@ -303,16 +303,16 @@
 
 //==============================================================================
 /** Asks for the receiver's latest proof that its configuration is the newest. */
-struct ProofQuestion
+struct ProofQuery
 {
     Duration m_askedAt {}; /**< on the sender's clock; returned in the answer */
 
-    auto operator<=> (const ProofQuestion&) const = default;
+    auto operator<=> (const ProofQuery&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_askedAt); }
 };
 
-/** Answers ProofQuestion.
+/** Answers ProofQuery.
 
     The receiver subtracts the age from m_askedAt, so that a delay of the answer never makes the proof
     appear more recent than it is.
@@ -330,12 +330,12 @@
 
 //==============================================================================
 /** Asks the node that counts an organisation's requests to admit one request under its rate limit. */
-struct LimitQuestion
+struct LimitQuery
 {
     CallId m_question = 0; /**< assigned by the sender */
     OrganisationName m_organisation;
 
-    auto operator<=> (const LimitQuestion&) const = default;
+    auto operator<=> (const LimitQuery&) const = default;
 
     template <class Archive> void serialize (Archive& archive) { archive (m_question, m_organisation); }
 };
@@ -347,7 +347,7 @@
     unknown /**< the organisation is unknown, or no node could be asked */
 };
 
-/** Answers LimitQuestion. */
+/** Answers LimitQuery. */
 struct LimitAnswer
 {
     CallId m_question = 0;
--- a/modules/plankledge_formats/DeclarationsJson.cpp
+++ b/modules/plankledge_formats/DeclarationsJson.cpp
@@ -153,8 +153,8 @@
         *object, path, { "class", "repeatable", "longest_wait_ms", "retry_budget", "record_window_ms" });
     operation.m_class = readClass (reader, *object, path);
     operation.m_isRepeatable = readRepeatable (reader, *object, path);
-    operation.m_longestWait = Milliseconds (
-        reader.integer (*object, path, "longest_wait_ms", 1, maxWaitMs, operation.m_longestWait.count()));
+    operation.m_maxWait = Milliseconds (
+        reader.integer (*object, path, "longest_wait_ms", 1, maxWaitMs, operation.m_maxWait.count()));
     operation.m_retryBudget = static_cast<std::uint32_t> (
         reader.integer (*object, path, "retry_budget", 0, maxRetries, operation.m_retryBudget));
     operation.m_recordWindow = Milliseconds (reader.integer (
--- a/modules/plankledge_formats/DeclarationsJson.h
+++ b/modules/plankledge_formats/DeclarationsJson.h
@@ -29,7 +29,7 @@
 /** A validation error and its location. */
 struct DeclarationFault
 {
-    std::string m_place; /**< path of the JSON value, e.g. "services.plans.slots" */
+    std::string m_location; /**< path of the JSON value, e.g. "services.plans.slots" */
     DeclarationError m_error = DeclarationError::notJson;
 
     auto operator<=> (const DeclarationFault&) const = default;
--- a/modules/plankledge_load/ScenarioReport.cpp
+++ b/modules/plankledge_load/ScenarioReport.cpp
@@ -181,7 +181,7 @@
         report.m_recoverySeconds = recoveryOf (scenario, results);
     }
 
-    report.m_sendingsPerRequest =
+    report.m_attemptsPerRequest =
         results.empty() ? 0.0 : static_cast<double> (attempts) / static_cast<double> (results.size());
     return report;
 }
@@ -206,7 +206,7 @@
                                            { "first_time", json::value_from (report.m_firstAttemptShare) },
                                            { "goodput_recovery_s", report.m_goodputRecoverySeconds },
                                            { "recovery_s", report.m_recoverySeconds },
-                                           { "sendings_per_request", report.m_sendingsPerRequest },
+                                           { "sendings_per_request", report.m_attemptsPerRequest },
                                            { "worst_lateness_ms", report.m_worstLatenessMs } });
 }
 
--- a/modules/plankledge_load/ScenarioReport.h
+++ b/modules/plankledge_load/ScenarioReport.h
@@ -28,7 +28,7 @@
         m_firstAttemptShare; /**< share of each bucket's new requests that the first attempt completed */
     double m_goodputRecoverySeconds = 0.0; /**< after the trigger's end; negative: not reached */
     double m_recoverySeconds = 0.0;        /**< the same, of completion rate and latency */
-    double m_sendingsPerRequest = 0.0;
+    double m_attemptsPerRequest = 0.0;
     double m_worstLatenessMs = 0.0; /**< maximum delay of a first attempt after its scheduled time */
 };
 
--- a/modules/plankledge_operator/Publisher.cpp
+++ b/modules/plankledge_operator/Publisher.cpp
@@ -35,7 +35,7 @@
 //==============================================================================
 Publisher::Publisher (DeclarationsParser parser, Hooks hooks)
     : m_hooks (std::move (hooks))
-    , m_judge (std::move (parser))
+    , m_stateMachine (std::move (parser))
 {
 }
 
@@ -43,7 +43,7 @@
 {
     for (;;)
     {
-        const auto from = m_judge.nextOffset();
+        const auto from = m_stateMachine.nextOffset();
         const auto page = m_hooks.m_read (from);
 
         if (! page.ok())
@@ -55,7 +55,7 @@
             if (auto decoded = decodeConfigurationRecord (record); decoded.ok())
                 read.m_records.push_back (*std::move (decoded));
 
-        for (auto& judged : m_judge.apply (read))
+        for (auto& judged : m_stateMachine.apply (read))
             m_verdicts.push_back (std::move (judged));
 
         if (page->m_next <= from)
@@ -68,14 +68,14 @@
     if (const auto status = readToEnd(); ! status.ok())
         return status;
 
-    if (! m_judge.canJudge())
+    if (! m_stateMachine.canDecide())
         return toStatus (PublishError::versionNotRetained);
 
-    return m_judge.state();
+    return m_stateMachine.state();
 }
 
-absl::StatusOr<JudgedProposal> Publisher::publish (const std::string& id, const std::string& text,
-                                                   std::optional<ConfigurationVersion> base)
+absl::StatusOr<DecidedProposal> Publisher::publish (const std::string& id, const std::string& text,
+                                                    std::optional<ConfigurationVersion> base)
 {
     const auto before = current();
 
@@ -105,7 +105,7 @@
     }
 }
 
-std::optional<JudgedProposal> Publisher::findVerdict (const std::string& id) const
+std::optional<DecidedProposal> Publisher::findVerdict (const std::string& id) const
 {
     for (const auto& judged : m_verdicts)
         if (judged.m_id == id)
--- a/modules/plankledge_operator/Publisher.h
+++ b/modules/plankledge_operator/Publisher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plankledge_formats/PlatformJson.h"
-#include "plankledge_policy/configuration/ConfigurationJudge.h"
+#include "plankledge_policy/configuration/ConfigurationStateMachine.h"
 #include <absl/status/statusor.h>
 #include <functional>
 #include <optional>
@@ -45,7 +45,7 @@
     Publisher (DeclarationsParser parser, Hooks hooks);
 
     /** Sets the version in force from a node's state; required if the log no longer contains that version. */
-    void adopt (const ConfigurationState& state) { m_judge.adopt (state); }
+    void adopt (const ConfigurationState& state) { m_stateMachine.adopt (state); }
 
     /** Reads the log to its end.
 
@@ -59,20 +59,20 @@
         @param base   the version on which the text is based; nullopt: the version in force
         @returns the verdict, or a PublishError as a status
     */
-    absl::StatusOr<JudgedProposal> publish (const std::string& id, const std::string& text,
-                                            std::optional<ConfigurationVersion> base);
+    absl::StatusOr<DecidedProposal> publish (const std::string& id, const std::string& text,
+                                             std::optional<ConfigurationVersion> base);
 
     /** @returns the verdicts on all proposals read so far, in log order */
-    const std::vector<JudgedProposal>& verdicts() const noexcept { return m_verdicts; }
+    const std::vector<DecidedProposal>& verdicts() const noexcept { return m_verdicts; }
 
 private:
     //==============================================================================
     absl::Status readToEnd();
-    std::optional<JudgedProposal> findVerdict (const std::string& id) const;
+    std::optional<DecidedProposal> findVerdict (const std::string& id) const;
 
     Hooks m_hooks;
-    ConfigurationJudge m_judge;
-    std::vector<JudgedProposal> m_verdicts;
+    ConfigurationStateMachine m_stateMachine;
+    std::vector<DecidedProposal> m_verdicts;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/Effects.h
+++ b/modules/plankledge_policy/Effects.h
@@ -47,14 +47,14 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_link, m_instance, m_message); }
 };
 
-struct SendRumour
+struct SendGossip
 {
     Endpoint m_endpoint;
-    Rumour m_rumour;
+    GossipMessage m_gossipMessage;
 
-    auto operator<=> (const SendRumour&) const = default;
+    auto operator<=> (const SendGossip&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_endpoint, m_rumour); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_endpoint, m_gossipMessage); }
 };
 
 /** Sends a call to this node's target. */
@@ -169,11 +169,14 @@
 {
     Ticket m_ticket = 0;
     RelayResult m_result;
-    bool m_closes = false; /**< closes the connection after the answer */
+    bool m_closesConnection = false; /**< closes the connection after the answer */
 
     auto operator<=> (const AnswerRelay&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_ticket, m_result, m_closes); }
+    template <class Archive> void serialize (Archive& archive)
+    {
+        archive (m_ticket, m_result, m_closesConnection);
+    }
 };
 
 /** Sends a relayed request to this node's target. */
@@ -209,7 +212,7 @@
     routes
 };
 
-enum class TopicReading : std::uint8_t
+enum class TopicReadMode : std::uint8_t
 {
     once,   /**< list all records, then stop */
     follow, /**< keep reading new records */
@@ -220,16 +223,16 @@
 struct ReadTopic
 {
     StoreTopic m_topic = StoreTopic::members;
-    TopicReading m_reading = TopicReading::rest;
-    StorePlace m_from; /**< follow: position to read from; without an offset the topic is listed first */
-    Duration m_longestWait {}; /**< follow: timeout of a read without new records, so that an outage of the
+    TopicReadMode m_readMode = TopicReadMode::rest;
+    StorePosition m_from;  /**< follow: position to read from; without an offset the topic is listed first */
+    Duration m_maxWait {}; /**< follow: timeout of a read without new records, so that an outage of the
                                   store is detected; 0: the store's own maximum */
 
     auto operator<=> (const ReadTopic&) const = default;
 
     template <class Archive> void serialize (Archive& archive)
     {
-        archive (m_topic, m_reading, m_from, m_longestWait);
+        archive (m_topic, m_readMode, m_from, m_maxWait);
     }
 };
 
@@ -308,7 +311,7 @@
 };
 
 using Effect =
-    std::variant<AnswerRequest, SendToPeer, ReplyOnLink, SendRumour, DispatchToTarget, CancelTargetCall,
+    std::variant<AnswerRequest, SendToPeer, ReplyOnLink, SendGossip, DispatchToTarget, CancelTargetCall,
                  FetchList, ReadLog, AppendJoin, AppendCheckpoint, WriteLog, Exit, AnswerRelay, RelayToTarget,
                  DropTargetConnections, ReadTopic, PublishMember, WithdrawMember, LogDecision>;
 
--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -94,13 +94,13 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_link); }
 };
 
-struct RumourReceived
+struct GossipReceived
 {
-    Rumour m_rumour;
+    GossipMessage m_gossipMessage;
 
-    auto operator<=> (const RumourReceived&) const = default;
+    auto operator<=> (const GossipReceived&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_rumour); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_gossipMessage); }
 };
 
 //==============================================================================
@@ -363,7 +363,8 @@
     std::vector<Member> m_members;
     std::vector<InstanceName> m_withdrawn;
     std::vector<InstanceName> m_unreadable {}; /**< whose newest record is invalid */
-    StorePlace m_end {}; /**< end of the records read so far; without an offset: the listing is incomplete */
+    StorePosition
+        m_end {}; /**< end of the records read so far; without an offset: the listing is incomplete */
 
     auto operator<=> (const MembersRead&) const = default;
 
@@ -384,20 +385,20 @@
 };
 
 /** The store became reachable or unreachable. */
-struct StoreReached
+struct StoreReachabilityChanged
 {
-    bool m_isReached = false;
+    bool m_isStoreReachable = false;
 
-    auto operator<=> (const StoreReached&) const = default;
+    auto operator<=> (const StoreReachabilityChanged&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_isReached); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_isStoreReachable); }
 };
 
-using EventBody =
-    std::variant<TimePassed, RequestReceived, CallerDisconnected, PeerMessageReceived, PeerUnreachable,
-                 PeerLost, LinkClosed, RumourReceived, TargetAnswered, TargetFailed, TargetObserved,
-                 ListReceived, ConfigurationRead, JoinsRead, StopRequested, RelayRequestReceived, TargetReply,
-                 TargetAnnounced, RoutesRead, RoutesConfirmed, MembersRead, StoreReached, StoreRestored>;
+using EventBody = std::variant<TimePassed, RequestReceived, CallerDisconnected, PeerMessageReceived,
+                               PeerUnreachable, PeerLost, LinkClosed, GossipReceived, TargetAnswered,
+                               TargetFailed, TargetObserved, ListReceived, ConfigurationRead, JoinsRead,
+                               StopRequested, RelayRequestReceived, TargetReply, TargetAnnounced, RoutesRead,
+                               RoutesConfirmed, MembersRead, StoreReachabilityChanged, StoreRestored>;
 
 //==============================================================================
 struct Event
--- a/modules/plankledge_policy/KeyedRequests.cpp
+++ b/modules/plankledge_policy/KeyedRequests.cpp
@@ -42,7 +42,7 @@
             [this] (Turn& turn, CallId call) {
                 m_inbound.cancel (turn, { 0, m_settings.m_self.m_id.m_instance, call });
             } })
-    , m_rumours (m_membership)
+    , m_gossip (m_membership)
     , m_configuration (std::move (parser), [this] (Turn&) { onConfigurationInForce(); })
     , m_join (m_membership, m_inbound.records(), [this] (Turn&) { onEstablished(); })
     , m_drain (m_membership, m_inbound.records(),
@@ -58,7 +58,7 @@
     m_join.start (m_turn);
     m_configuration.start (m_turn);
     m_timers.set (now + m_turn.jittered (m_settings.m_heartbeatPeriod / 2), TimerKind::heartbeat);
-    m_timers.set (now + m_turn.jittered (m_settings.m_rumourPeriod / 2), TimerKind::rumour);
+    m_timers.set (now + m_turn.jittered (m_settings.m_gossipPeriod / 2), TimerKind::gossip);
     m_timers.set (now + m_turn.jittered (m_settings.m_listPeriod / 2), TimerKind::listPoll);
     m_timers.set (now + ShedThreshold::window, TimerKind::shedWindow);
     m_timers.set (now + housekeepingPeriod, TimerKind::housekeeping);
@@ -78,15 +78,15 @@
         return m_outgoing.onDeadline (m_turn, timer.m_subject);
     case TimerKind::inboundDeadline:
         return m_inbound.onDeadline (m_turn, timer.m_subject);
-    case TimerKind::inboundAbandon:
-        return m_inbound.onAbandonTime (m_turn, timer.m_subject);
+    case TimerKind::inboundRunTimeout:
+        return m_inbound.onRunTimeout (m_turn, timer.m_subject);
     case TimerKind::inquiryTimeout:
         return m_inbound.inquiries().onTimeout (m_turn, timer.m_subject);
     case TimerKind::heartbeat:
         return onHeartbeatTimer();
-    case TimerKind::rumour:
-        m_rumours.spread (m_turn, m_configuration.version(), Rumours::usualReceivers);
-        return m_timers.set (m_turn.now() + m_settings.m_rumourPeriod, TimerKind::rumour);
+    case TimerKind::gossip:
+        m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::regularFanout);
+        return m_timers.set (m_turn.now() + m_settings.m_gossipPeriod, TimerKind::gossip);
     case TimerKind::listPoll:
         return onListPollTimer();
     case TimerKind::logPoll:
@@ -136,8 +136,8 @@
 
 void KeyedRequests::announceState()
 {
-    m_rumours.addNews (m_membership.self());
-    m_rumours.spread (m_turn, m_configuration.version(), Rumours::urgentReceivers);
+    m_gossip.addUpdate (m_membership.self());
+    m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::urgentFanout);
     sendHeartbeats();
 }
 
@@ -154,13 +154,13 @@
 void KeyedRequests::onConfigurationInForce()
 {
     m_inbound.onConfiguration();
-    m_rumours.spread (m_turn, m_configuration.version(), Rumours::urgentReceivers);
+    m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::urgentFanout);
 }
 
 //==============================================================================
 void KeyedRequests::handle (const RequestReceived& event)
 {
-    if (m_drain.refusesNew() && ! event.m_isOutbound)
+    if (m_drain.refusesNewCalls() && ! event.m_isOutbound)
         return OutgoingCalls::refuse (m_turn, event, Reason::draining);
 
     if (m_inbound.gate().isLate (m_turn.now()))
@@ -183,11 +183,11 @@
     m_outgoing.onPeerLost (m_turn, event.m_instance);
 }
 
-void KeyedRequests::handle (const RumourReceived& event)
+void KeyedRequests::handle (const GossipReceived& event)
 {
-    const auto& rumour = event.m_rumour;
-    m_rumours.onRumour (m_turn, rumour);
-    m_configuration.onPeerVersion (m_turn, rumour.m_sender, rumour.m_version);
+    const auto& gossip = event.m_gossipMessage;
+    m_gossip.onGossip (m_turn, gossip);
+    m_configuration.onPeerVersion (m_turn, gossip.m_sender, gossip.m_version);
 }
 
 void KeyedRequests::handle (const TargetObserved& event)
@@ -263,7 +263,7 @@
     m_turn.emit (ReplyOnLink { link, from.m_instance, m_join.onRequest (m_turn, message) });
 
     if (isNew)
-        m_rumours.addNews (message.m_member);
+        m_gossip.addUpdate (message.m_member);
 }
 
 void KeyedRequests::onMessage (LinkId, const NodeId& from, const JoinAcknowledgement& message)
@@ -274,7 +274,7 @@
 void KeyedRequests::onMessage (LinkId, const NodeId& from, const Heartbeat& message)
 {
     if (m_membership.learn (message.m_member, m_turn.now()))
-        m_rumours.addNews (message.m_member);
+        m_gossip.addUpdate (message.m_member);
 
     m_membership.onDigest (from.m_instance, message.m_membersDigest, m_turn.now());
     m_configuration.onPeerVersion (m_turn, message.m_member, message.m_version);
--- a/modules/plankledge_policy/KeyedRequests.h
+++ b/modules/plankledge_policy/KeyedRequests.h
@@ -6,9 +6,9 @@
 #include "plankledge_policy/calls/OutgoingCalls.h"
 #include "plankledge_policy/configuration/ConfigurationSync.h"
 #include "plankledge_policy/membership/DrainProtocol.h"
+#include "plankledge_policy/membership/GossipProtocol.h"
 #include "plankledge_policy/membership/JoinProtocol.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/membership/Rumours.h"
 #include "plankledge_policy/routing/Router.h"
 
 namespace plankledge
@@ -57,7 +57,7 @@
     void handle (const PeerUnreachable& event);
     void handle (const PeerLost& event);
     void handle (const LinkClosed& event) { m_inbound.onLinkClosed (m_turn, event.m_link); }
-    void handle (const RumourReceived& event);
+    void handle (const GossipReceived& event);
     void handle (const TargetAnswered& event) { m_inbound.onTargetAnswered (m_turn, event); }
     void handle (const TargetFailed& event) { m_inbound.onTargetFailed (m_turn, event); }
     void handle (const TargetObserved& event);
@@ -67,7 +67,7 @@
     void handle (const StopRequested&) { m_drain.start (m_turn); }
 
     /** A message of any kind was received from a peer. */
-    void onHeardFrom (const NodeId& from) { m_membership.onHeardFrom (from, m_turn.now()); }
+    void onMessageFrom (const NodeId& from) { m_membership.onMessageFrom (from, m_turn.now()); }
 
     void onMessage (LinkId link, const NodeId& from, const CallRequest& message);
     void onMessage (LinkId link, const NodeId& from, const CallAnswer& message);
@@ -102,7 +102,7 @@
     ThresholdCache m_thresholds;
     InboundCalls m_inbound;
     OutgoingCalls m_outgoing;
-    Rumours m_rumours;
+    GossipProtocol m_gossip;
     ConfigurationSync m_configuration;
     JoinProtocol m_join;
     DrainProtocol m_drain;
--- a/modules/plankledge_policy/NodeSettings.h
+++ b/modules/plankledge_policy/NodeSettings.h
@@ -46,7 +46,7 @@
     Mechanisms m_mechanisms;
 
     Duration m_heartbeatPeriod = std::chrono::seconds (2);
-    Duration m_rumourPeriod = Milliseconds (500);
+    Duration m_gossipPeriod = Milliseconds (500);
     Duration m_listPeriod = std::chrono::seconds (2);     /**< minimum; grows with the cluster */
     Duration m_logPeriod = std::chrono::seconds (1);      /**< minimum; grows with the cluster */
     Duration m_joinPeriod = Milliseconds (500);           /**< between join requests */
@@ -63,7 +63,7 @@
     template <class Archive> void serialize (Archive& archive)
     {
         archive (m_self, m_seed, m_policy, m_mechanisms);
-        archive (m_heartbeatPeriod, m_rumourPeriod, m_listPeriod, m_logPeriod, m_joinPeriod);
+        archive (m_heartbeatPeriod, m_gossipPeriod, m_listPeriod, m_logPeriod, m_joinPeriod);
         archive (m_drainGrace, m_drainTimeout, m_listLagBound, m_silenceTimeout, m_checkpointPeriod);
         archive (m_pauseThreshold, m_maxRecords);
     }
--- a/modules/plankledge_policy/Reducer.cpp
+++ b/modules/plankledge_policy/Reducer.cpp
@@ -106,10 +106,10 @@
 void Reducer::handle (const PeerMessageReceived& event)
 {
     if (m_keyed != nullptr)
-        m_keyed->onHeardFrom (event.m_from);
+        m_keyed->onMessageFrom (event.m_from);
 
     if (m_relay != nullptr)
-        m_relay->onHeardFrom (event.m_from);
+        m_relay->onMessageFrom (event.m_from);
 
     const auto dispatchMessage = [&] (const auto& message) {
         dispatch (m_keyed.get(), event.m_link, event.m_from, message);
--- a/modules/plankledge_policy/TimerQueue.h
+++ b/modules/plankledge_policy/TimerQueue.h
@@ -13,10 +13,10 @@
 {
     outgoingDeadline,
     inboundDeadline,
-    inboundAbandon,
+    inboundRunTimeout,
     inquiryTimeout,
     heartbeat,
-    rumour,
+    gossip,
     listPoll,
     logPoll,
     join,
--- a/modules/plankledge_policy/calls/InboundCalls.cpp
+++ b/modules/plankledge_policy/calls/InboundCalls.cpp
@@ -18,7 +18,7 @@
 /** Upper bound of the time from the caller of a retry through the entry node to this node. */
 Duration maxTransitTime (const OperationDeclaration& operation)
 {
-    return 2 * Duration (operation.m_longestWait);
+    return 2 * Duration (operation.m_maxWait);
 }
 
 /** Includes the transit time, so that a retry sent within the record window still finds the record. */
@@ -232,7 +232,7 @@
         m_records.adopt (record, turn.now());
 
     for (const auto& fence : handover.m_fences)
-        m_records.fence (fence.m_keyHash, turn.now() + fence.m_for);
+        m_records.fence (fence.m_keyHash, turn.now() + fence.m_remainingTime);
 
     turn.emit (ReplyOnLink { link, from.m_instance, HandoverAcknowledgement { handover.m_batch } });
 }
@@ -249,7 +249,7 @@
     call.m_key =
         operation.m_isRepeatable ? std::string() : scopedKey (request.m_content, request.m_idempotency);
     call.m_retention = recordRetention (turn, operation);
-    call.m_deadline = turn.now() + std::min<Duration> (request.m_timeLeft, operation.m_longestWait);
+    call.m_deadline = turn.now() + std::min<Duration> (request.m_timeLeft, operation.m_maxWait);
     const auto deadline = call.m_deadline;
     const auto id = m_calls.add (std::move (call), m_settings.m_self.m_id.m_incarnation);
     turn.timers().set (deadline, TimerKind::inboundDeadline, id);
@@ -425,10 +425,10 @@
     for (const auto& origin : m_calls.detachAll (id))
         answer (turn, origin, call.m_request, result, 0);
 
-    turn.timers().set (turn.now() + call.m_retention, TimerKind::inboundAbandon, id);
+    turn.timers().set (turn.now() + call.m_retention, TimerKind::inboundRunTimeout, id);
 }
 
-void InboundCalls::onAbandonTime (Turn& turn, CallId id)
+void InboundCalls::onRunTimeout (Turn& turn, CallId id)
 {
     if (m_calls.find (id) == nullptr)
         return;
--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -71,7 +71,7 @@
     void onDeadline (Turn& turn, CallId call);
 
     /** Cancels a non-repeatable call that still runs after its deadline and its record retention. */
-    void onAbandonTime (Turn& turn, CallId call);
+    void onRunTimeout (Turn& turn, CallId call);
 
     /** Updates the admission threshold at the end of a measurement window. */
     void onWindowEnd (Turn& turn);
--- a/modules/plankledge_policy/calls/OutgoingCalls.cpp
+++ b/modules/plankledge_policy/calls/OutgoingCalls.cpp
@@ -75,9 +75,8 @@
     request.m_idempotency = received.m_idempotency;
     request.m_operation = *operation;
     request.m_receivedAt = turn.now();
-    request.m_deadline =
-        turn.now() +
-        std::min<Duration> (received.m_timeout.value_or (operation->m_longestWait), operation->m_longestWait);
+    request.m_deadline = turn.now() + std::min<Duration> (received.m_timeout.value_or (operation->m_maxWait),
+                                                          operation->m_maxWait);
 
     if (received.m_isOutbound && ! received.m_parent.empty())
     {
--- a/modules/plankledge_policy/configuration/ConfigurationJudge.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/configuration/ConfigurationJudge.h"
+#include "plankledge_policy/configuration/ConfigurationStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,9 +14,9 @@
 } // namespace
 
 //==============================================================================
-std::vector<JudgedProposal> ConfigurationJudge::apply (const ConfigurationRead& read)
+std::vector<DecidedProposal> ConfigurationStateMachine::apply (const ConfigurationRead& read)
 {
-    std::vector<JudgedProposal> decided;
+    std::vector<DecidedProposal> decided;
 
     if (read.m_from != m_next || read.m_next < read.m_from)
         return decided;
@@ -39,13 +39,14 @@
     m_next = std::max (m_next, read.m_next);
     decidePending (decided);
 
-    if (canJudge())
+    if (canDecide())
         m_state.m_asOfOffset = std::max (m_state.m_asOfOffset, m_next - 1);
 
     return decided;
 }
 
-void ConfigurationJudge::applyRecord (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided)
+void ConfigurationStateMachine::applyRecord (const ConfigurationRecord& record,
+                                             std::vector<DecidedProposal>& decided)
 {
     if (record.m_kind == ConfigurationRecordKind::checkpoint)
     {
@@ -59,8 +60,8 @@
     decidePending (decided);
 }
 
-void ConfigurationJudge::applyCheckpoint (const ConfigurationRecord& record,
-                                          std::vector<JudgedProposal>& decided)
+void ConfigurationStateMachine::applyCheckpoint (const ConfigurationRecord& record,
+                                                 std::vector<DecidedProposal>& decided)
 {
     if (record.m_version >= m_state.m_version)
         m_lastRestatement = record.m_offset;
@@ -77,9 +78,9 @@
     decidePending (decided);
 }
 
-void ConfigurationJudge::decidePending (std::vector<JudgedProposal>& decided)
+void ConfigurationStateMachine::decidePending (std::vector<DecidedProposal>& decided)
 {
-    if (! canJudge())
+    if (! canDecide())
         return;
 
     for (const auto& proposal : std::exchange (m_pendingProposals, {}))
@@ -87,38 +88,38 @@
             decided.push_back (decideProposal (proposal));
 }
 
-JudgedProposal ConfigurationJudge::decideProposal (const ConfigurationRecord& proposal)
+DecidedProposal ConfigurationStateMachine::decideProposal (const ConfigurationRecord& proposal)
 {
     m_state.m_asOfOffset = proposal.m_offset;
 
     if (proposal.m_version != m_state.m_version)
-        return { proposal.m_id, Verdict::conflict, m_state.m_version };
+        return { proposal.m_id, ProposalVerdict::conflict, m_state.m_version };
 
     auto declarations = m_parser (proposal.m_text);
 
     if (! declarations.has_value())
-        return { proposal.m_id, Verdict::invalid, m_state.m_version };
+        return { proposal.m_id, ProposalVerdict::invalid, m_state.m_version };
 
     m_declarations = *std::move (declarations);
     m_state = { proposal.m_version + 1, proposal.m_offset, proposal.m_text };
     m_lastRestatement = proposal.m_offset;
-    return { proposal.m_id, Verdict::accepted, m_state.m_version };
+    return { proposal.m_id, ProposalVerdict::accepted, m_state.m_version };
 }
 
-bool ConfigurationJudge::adopt (const ConfigurationState& state)
+bool ConfigurationStateMachine::adopt (const ConfigurationState& state)
 {
     const auto before = m_state.m_version;
     putInForce (state);
 
     // The new state may allow decisions on pending proposals.
-    std::vector<JudgedProposal> decided;
+    std::vector<DecidedProposal> decided;
     decidePending (decided);
     return m_state.m_version > before;
 }
 
-bool ConfigurationJudge::putInForce (const ConfigurationState& state)
+bool ConfigurationStateMachine::putInForce (const ConfigurationState& state)
 {
-    if (state.m_version == m_state.m_version && ! canJudge())
+    if (state.m_version == m_state.m_version && ! canDecide())
     {
         // The same version at a later offset: this node's gap no longer matters.
         if (state.m_asOfOffset + 1 >= m_coveredFrom)
--- a/modules/plankledge_policy/configuration/ConfigurationJudge.h
+++ b/modules/plankledge_policy/configuration/ConfigurationStateMachine.h
@@ -8,7 +8,7 @@
 {
 
 /** The verdict on a proposal, which depends on the order of the log only. */
-enum class Verdict : std::uint8_t
+enum class ProposalVerdict : std::uint8_t
 {
     accepted,
     conflict, /**< its base version was not in force at its offset in the log */
@@ -16,13 +16,13 @@
 };
 
 /** A proposal and its verdict. */
-struct JudgedProposal
+struct DecidedProposal
 {
     std::string m_id;
-    Verdict m_verdict = Verdict::conflict;
+    ProposalVerdict m_verdict = ProposalVerdict::conflict;
     ConfigurationVersion m_version = 0; /**< version in force after the proposal */
 
-    auto operator<=> (const JudgedProposal&) const = default;
+    auto operator<=> (const DecidedProposal&) const = default;
 };
 
 //==============================================================================
@@ -35,11 +35,11 @@
     start of the stream keeps proposals pending until a checkpoint or a peer's state
     closes the gap. The version never decreases.
 */
-class ConfigurationJudge
+class ConfigurationStateMachine
 {
 public:
     //==============================================================================
-    explicit ConfigurationJudge (DeclarationsParser parser)
+    explicit ConfigurationStateMachine (DeclarationsParser parser)
         : m_parser (std::move (parser))
     {
     }
@@ -48,7 +48,7 @@
 
         @returns the verdicts that became possible, in log order
     */
-    std::vector<JudgedProposal> apply (const ConfigurationRead& read);
+    std::vector<DecidedProposal> apply (const ConfigurationRead& read);
 
     /** Applies a peer's state.
 
@@ -68,15 +68,15 @@
     LogOffset lastRestatement() const noexcept { return m_lastRestatement; }
 
     /** @returns whether all records after the state's offset have been read */
-    bool canJudge() const noexcept { return m_state.m_asOfOffset + 1 >= m_coveredFrom; }
+    bool canDecide() const noexcept { return m_state.m_asOfOffset + 1 >= m_coveredFrom; }
 
 private:
     //==============================================================================
     bool putInForce (const ConfigurationState& state);
-    void applyRecord (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided);
-    void applyCheckpoint (const ConfigurationRecord& record, std::vector<JudgedProposal>& decided);
-    void decidePending (std::vector<JudgedProposal>& decided);
-    JudgedProposal decideProposal (const ConfigurationRecord& proposal);
+    void applyRecord (const ConfigurationRecord& record, std::vector<DecidedProposal>& decided);
+    void applyCheckpoint (const ConfigurationRecord& record, std::vector<DecidedProposal>& decided);
+    void decidePending (std::vector<DecidedProposal>& decided);
+    DecidedProposal decideProposal (const ConfigurationRecord& proposal);
 
     DeclarationsParser m_parser;
     ConfigurationState m_state;
--- a/modules/plankledge_policy/configuration/ConfigurationSync.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.cpp
@@ -16,14 +16,14 @@
 
 //==============================================================================
 ConfigurationSync::ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> onInForce)
-    : m_judge (std::move (parser))
+    : m_stateMachine (std::move (parser))
     , m_onInForce (std::move (onInForce))
 {
 }
 
 void ConfigurationSync::start (Turn& turn)
 {
-    turn.emit (ReadLog { LogStream::configuration, m_judge.nextOffset() });
+    turn.emit (ReadLog { LogStream::configuration, m_stateMachine.nextOffset() });
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_logPeriod / 2), TimerKind::logPoll);
     scheduleCheckpoint (turn);
 }
@@ -32,7 +32,7 @@
 {
     const auto scaled = pollIntervalPerMember * static_cast<Duration::rep> (clusterSize);
     const auto period = std::max (turn.settings().m_logPeriod, scaled);
-    turn.emit (ReadLog { LogStream::configuration, m_judge.nextOffset() });
+    turn.emit (ReadLog { LogStream::configuration, m_stateMachine.nextOffset() });
     turn.timers().set (turn.now() + period / 2 + turn.jittered (period / 2) / 2, TimerKind::logPoll);
 }
 
@@ -40,13 +40,13 @@
 {
     const auto before = version();
 
-    for (const auto& decided : m_judge.apply (read))
+    for (const auto& decided : m_stateMachine.apply (read))
     {
-        if (decided.m_verdict == Verdict::conflict)
+        if (decided.m_verdict == ProposalVerdict::conflict)
             turn.emit (WriteLog { Notice::configurationConflict, decided.m_id,
                                   static_cast<std::int64_t> (decided.m_version) });
 
-        if (decided.m_verdict == Verdict::invalid)
+        if (decided.m_verdict == ProposalVerdict::invalid)
         {
             ++turn.counters().m_invalidConfigurations;
             turn.emit (WriteLog { Notice::configurationInvalid, decided.m_id, 0 });
@@ -68,17 +68,17 @@
 //==============================================================================
 void ConfigurationSync::scheduleCheckpoint (Turn& turn)
 {
-    m_restatementAtSchedule = m_judge.lastRestatement();
+    m_restatementAtSchedule = m_stateMachine.lastRestatement();
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_checkpointPeriod),
                        TimerKind::checkpoint);
 }
 
 void ConfigurationSync::onCheckpointTime (Turn& turn)
 {
-    const bool wasRestated = m_judge.lastRestatement() > m_restatementAtSchedule;
+    const bool wasRestated = m_stateMachine.lastRestatement() > m_restatementAtSchedule;
 
-    if (! wasRestated && version() > 0 && m_judge.canJudge())
-        turn.emit (AppendCheckpoint { m_judge.state() });
+    if (! wasRestated && version() > 0 && m_stateMachine.canDecide())
+        turn.emit (AppendCheckpoint { m_stateMachine.state() });
 
     scheduleCheckpoint (turn);
 }
@@ -97,13 +97,13 @@
                                 const ConfigurationPull& pull) const
 {
     if (pull.m_have < version())
-        turn.emit (ReplyOnLink { link, from.m_instance, m_judge.state() });
+        turn.emit (ReplyOnLink { link, from.m_instance, m_stateMachine.state() });
 }
 
 void ConfigurationSync::onState (Turn& turn, const ConfigurationState& state)
 {
     const auto before = version();
-    m_judge.adopt (state);
+    m_stateMachine.adopt (state);
     notifyIfChanged (turn, before);
 }
 
--- a/modules/plankledge_policy/configuration/ConfigurationSync.h
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/configuration/ConfigurationJudge.h"
+#include "plankledge_policy/configuration/ConfigurationStateMachine.h"
 #include "plankledge_policy/membership/Membership.h"
 #include <functional>
 
@@ -34,22 +34,22 @@
     void onPull (Turn& turn, LinkId link, const NodeId& from, const ConfigurationPull& pull) const;
     void onState (Turn& turn, const ConfigurationState& state);
 
-    ConfigurationVersion version() const noexcept { return m_judge.state().m_version; }
+    ConfigurationVersion version() const noexcept { return m_stateMachine.state().m_version; }
 
     /** @returns the declarations in force, or nullptr if there are none */
     const Declarations* declarations() const noexcept
     {
-        return version() > 0 ? &m_judge.declarations() : nullptr;
+        return version() > 0 ? &m_stateMachine.declarations() : nullptr;
     }
 
-    const ConfigurationState& state() const noexcept { return m_judge.state(); }
+    const ConfigurationState& state() const noexcept { return m_stateMachine.state(); }
 
 private:
     //==============================================================================
     void notifyIfChanged (Turn& turn, ConfigurationVersion before);
     void scheduleCheckpoint (Turn& turn);
 
-    ConfigurationJudge m_judge;
+    ConfigurationStateMachine m_stateMachine;
     std::function<void (Turn&)> m_onInForce;
     Time m_nextPull;
     LogOffset m_restatementAtSchedule = -1;
--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -40,7 +40,7 @@
     bool isDraining() const noexcept { return m_phase != Phase::none; }
 
     /** @returns whether new requests are refused */
-    bool refusesNew() const noexcept { return m_phase > Phase::announcing; }
+    bool refusesNewCalls() const noexcept { return m_phase > Phase::announcing; }
 
 private:
     //==============================================================================
--- a/modules/plankledge_policy/membership/Rumours.cpp
+++ b/modules/plankledge_policy/membership/GossipProtocol.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/membership/Rumours.h"
+#include "plankledge_policy/membership/GossipProtocol.h"
 
 #include <algorithm>
 
@@ -14,12 +14,12 @@
 } // namespace
 
 //==============================================================================
-void Rumours::addNews (const Member& member)
+void GossipProtocol::addUpdate (const Member& member)
 {
-    m_news[member.m_id.m_instance] = { member, transmissionsPerUpdate };
+    m_memberUpdates[member.m_id.m_instance] = { member, transmissionsPerUpdate };
 }
 
-void Rumours::spread (Turn& turn, ConfigurationVersion version, std::size_t fanout)
+void GossipProtocol::spread (Turn& turn, ConfigurationVersion version, std::size_t fanout)
 {
     const auto others = m_membership.others();
 
@@ -31,27 +31,27 @@
     for (std::size_t index = 0; index < fanout; ++index)
     {
         const auto& receiver = others[turn.random().below (others.size())];
-        turn.emit (SendRumour { receiver.m_endpoint, { m_membership.self(), version, updates } });
+        turn.emit (SendGossip { receiver.m_endpoint, { m_membership.self(), version, updates } });
     }
 }
 
-void Rumours::onRumour (Turn& turn, const Rumour& rumour)
+void GossipProtocol::onGossip (Turn& turn, const GossipMessage& gossip)
 {
-    m_membership.onHeardFrom (rumour.m_sender.m_id, turn.now());
+    m_membership.onMessageFrom (gossip.m_sender.m_id, turn.now());
 
-    if (m_membership.learn (rumour.m_sender, turn.now()))
-        addNews (rumour.m_sender);
+    if (m_membership.learn (gossip.m_sender, turn.now()))
+        addUpdate (gossip.m_sender);
 
-    for (const auto& member : rumour.m_news)
+    for (const auto& member : gossip.m_memberUpdates)
         if (m_membership.learn (member, turn.now()))
-            addNews (member);
+            addUpdate (member);
 }
 
-std::vector<Member> Rumours::takeUpdates()
+std::vector<Member> GossipProtocol::takeUpdates()
 {
     std::vector<PendingUpdate*> leastSent;
 
-    for (auto& [instance, update] : m_news)
+    for (auto& [instance, update] : m_memberUpdates)
         leastSent.push_back (&update);
 
     // The least sent updates go first, so that a backlog does not delay new ones.
@@ -69,7 +69,7 @@
         --update->m_transmissionsLeft;
     }
 
-    std::erase_if (m_news, [] (const auto& entry) { return entry.second.m_transmissionsLeft == 0; });
+    std::erase_if (m_memberUpdates, [] (const auto& entry) { return entry.second.m_transmissionsLeft == 0; });
     return result;
 }
 
--- a/modules/plankledge_policy/membership/Rumours.h
+++ b/modules/plankledge_policy/membership/GossipProtocol.h
@@ -15,17 +15,17 @@
     Each node passes an update on a limited number of times, so that its traffic does
     not grow with the size of the cluster.
 */
-class Rumours
+class GossipProtocol
 {
 public:
     //==============================================================================
-    explicit Rumours (Membership& membership)
+    explicit GossipProtocol (Membership& membership)
         : m_membership (membership)
     {
     }
 
     /** Queues a member's new state for the next transmissions. */
-    void addNews (const Member& member);
+    void addUpdate (const Member& member);
 
     /** Sends the least sent updates to random members.
 
@@ -34,13 +34,13 @@
     void spread (Turn& turn, ConfigurationVersion version, std::size_t fanout);
 
     /** Merges a received message: its sender's state and its updates. */
-    void onRumour (Turn& turn, const Rumour& rumour);
+    void onGossip (Turn& turn, const GossipMessage& gossip);
 
     /** Number of receivers in each period. */
-    static constexpr std::size_t usualReceivers = 2;
+    static constexpr std::size_t regularFanout = 2;
 
     /** Number of receivers of an urgent update, which is sent at once. */
-    static constexpr std::size_t urgentReceivers = 5;
+    static constexpr std::size_t urgentFanout = 5;
 
 private:
     //==============================================================================
@@ -53,7 +53,7 @@
     std::vector<Member> takeUpdates();
 
     Membership& m_membership;
-    std::map<InstanceName, PendingUpdate> m_news;
+    std::map<InstanceName, PendingUpdate> m_memberUpdates;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/membership/JoinProtocol.cpp
+++ b/modules/plankledge_policy/membership/JoinProtocol.cpp
@@ -116,7 +116,7 @@
 
 JoinAcknowledgement JoinProtocol::onRequest (Turn& turn, const JoinRequest& request) const
 {
-    m_membership.onHeardFrom (request.m_member.m_id, turn.now());
+    m_membership.onMessageFrom (request.m_member.m_id, turn.now());
     m_membership.learn (request.m_member, turn.now());
 
     JoinAcknowledgement acknowledgement;
@@ -132,7 +132,7 @@
 
 void JoinProtocol::onAcknowledged (Turn& turn, const NodeId& from, const JoinAcknowledgement& acknowledgement)
 {
-    m_membership.onHeardFrom (from, turn.now());
+    m_membership.onMessageFrom (from, turn.now());
 
     for (const auto& member : acknowledgement.m_members)
         m_membership.learn (member, turn.now());
@@ -141,7 +141,7 @@
         m_membership.onLost (lost, turn.now());
 
     for (const auto& fence : acknowledgement.m_fences)
-        m_records.fence (fence.m_keyHash, turn.now() + fence.m_for);
+        m_records.fence (fence.m_keyHash, turn.now() + fence.m_remainingTime);
 
     m_acknowledged.insert (from);
     m_isAcknowledgedByEstablished = m_isAcknowledgedByEstablished || acknowledgement.m_isEstablished;
--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -81,7 +81,7 @@
     return wasLeaving || member.m_state == MemberState::leaving;
 }
 
-void Membership::onHeardFrom (const NodeId& id, Time now)
+void Membership::onMessageFrom (const NodeId& id, Time now)
 {
     // A node that was removed because it was not listed, but still sends messages, has not departed.
     const auto departed = m_departed.find (id.m_instance);
@@ -208,7 +208,7 @@
 
 void Membership::onLost (const LostMemory& lost, Time now)
 {
-    markLost (lost.m_id, now - lost.m_ago);
+    markLost (lost.m_id, now - lost.m_timeSinceLoss);
 }
 
 void Membership::markLost (const NodeId& id, Time at)
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -36,7 +36,7 @@
     bool learn (const Member& member, Time now);
 
     /** Updates the time of the last message from this incarnation of an instance. */
-    void onHeardFrom (const NodeId& id, Time now);
+    void onMessageFrom (const NodeId& id, Time now);
 
     /** Merges the platform's list of instances.
 
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/once/RecordTable.cpp
@@ -66,7 +66,8 @@
 
     const auto state =
         copy.m_result.m_outcome == Outcome::completed ? RecordState::completed : RecordState::broken;
-    m_records[copy.m_key] = Record { state, copy.m_bodyHash, 0, copy.m_result, copy.m_for, now + copy.m_for };
+    m_records[copy.m_key] =
+        Record { state, copy.m_bodyHash, 0, copy.m_result, copy.m_remainingTime, now + copy.m_remainingTime };
 }
 
 std::vector<RecordCopy> RecordTable::finishedRecords (Time now) const
--- a/modules/plankledge_policy/relay/RelayDecisions.cpp
+++ b/modules/plankledge_policy/relay/RelayDecisions.cpp
@@ -305,7 +305,7 @@
     m_gate.onLinkClosed (m_turn, event.m_link);
 }
 
-void RelayDecisions::onHeardFrom (const NodeId& from)
+void RelayDecisions::onMessageFrom (const NodeId& from)
 {
     if (m_peers.onFrameReceived (from, m_turn.now()))
         m_turn.emit (LogDecision { Decision::peerRegained, {}, { { "peer", from.m_instance } } });
@@ -349,7 +349,7 @@
                                      { "zone", message.m_member.m_zone },
                                      { "source", "hello" } } });
 
-    onHeardFrom (from);
+    onMessageFrom (from);
 
     if (auto* peer = m_peers.find (from.m_instance))
         (void)peer->m_delayEstimator.queueingDelay (message.m_sentAt, m_turn.now());
@@ -421,14 +421,14 @@
     m_turn.emit (ReplyOnLink { link, from.m_instance, m_store.since (message.m_have) });
 }
 
-void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersTold& message)
+void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersUpdate& message)
 {
-    if (m_store.onMembersTold (m_turn, message))
+    if (m_store.onMembersUpdate (m_turn, message))
         addMembers (message.m_members, message.m_withdrawn, from.m_instance);
 }
 
 //==============================================================================
-void RelayDecisions::onMessage (LinkId link, const NodeId& from, const ProofQuestion& message)
+void RelayDecisions::onMessage (LinkId link, const NodeId& from, const ProofQuery& message)
 {
     m_keys.onQuestion (m_turn, link, from.m_instance, message);
 }
@@ -438,7 +438,7 @@
     m_keys.onAnswer (m_turn, message);
 }
 
-void RelayDecisions::onMessage (LinkId link, const NodeId& from, const LimitQuestion& message)
+void RelayDecisions::onMessage (LinkId link, const NodeId& from, const LimitQuery& message)
 {
     m_limits.onQuestion (m_turn, link, from.m_instance, message);
 }
--- a/modules/plankledge_policy/relay/RelayDecisions.h
+++ b/modules/plankledge_policy/relay/RelayDecisions.h
@@ -65,11 +65,11 @@
     void handle (const PeerUnreachable& event);
     void handle (const PeerLost& event);
     void handle (const MembersRead& event);
-    void handle (const StoreReached& event) { m_store.onReached (event, m_turn.now()); }
+    void handle (const StoreReachabilityChanged& event) { m_store.onReached (event, m_turn.now()); }
     void handle (const StopRequested& event);
 
     /** A message of any kind was received from a peer. */
-    void onHeardFrom (const NodeId& from);
+    void onMessageFrom (const NodeId& from);
 
     void onMessage (LinkId link, const NodeId& from, const RelayRequest& message);
     void onMessage (LinkId link, const NodeId& from, const RelayAnswer& message);
@@ -79,10 +79,10 @@
     void onMessage (LinkId link, const NodeId& from, const RoutesPull& message);
     void onMessage (LinkId link, const NodeId& from, const RoutesText& message);
     void onMessage (LinkId link, const NodeId& from, const MembersPull& message);
-    void onMessage (LinkId link, const NodeId& from, const MembersTold& message);
-    void onMessage (LinkId link, const NodeId& from, const ProofQuestion& message);
+    void onMessage (LinkId link, const NodeId& from, const MembersUpdate& message);
+    void onMessage (LinkId link, const NodeId& from, const ProofQuery& message);
     void onMessage (LinkId link, const NodeId& from, const ProofAnswer& message);
-    void onMessage (LinkId link, const NodeId& from, const LimitQuestion& message);
+    void onMessage (LinkId link, const NodeId& from, const LimitQuery& message);
     void onMessage (LinkId link, const NodeId& from, const LimitAnswer& message);
     void onMessage (LinkId link, const NodeId& from, const CrashUpdate& message);
     void onMessage (LinkId link, const NodeId& from, const CrashPull& message);
--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -33,7 +33,7 @@
 
 bool readsStore (const Peer& peer) noexcept
 {
-    return peer.m_store.m_isFollowing && peer.m_store.m_isReached;
+    return peer.m_store.m_isFollowing && peer.m_store.m_isStoreReachable;
 }
 
 } // namespace
@@ -64,7 +64,7 @@
 
 //==============================================================================
 void KeyGuard::onQuestion (Turn& turn, LinkId link, const InstanceName& from,
-                           const ProofQuestion& question) const
+                           const ProofQuery& question) const
 {
     if (const auto known = age (turn.now()); known.has_value() && *known <= maxAcceptedAge)
         turn.emit (ReplyOnLink { link, from, ProofAnswer { question.m_askedAt, m_version, *known } });
@@ -145,13 +145,13 @@
 
     m_askedAt = turn.now();
     turn.emit (SendToPeer { peer->m_member.m_id.m_instance, peer->m_member.m_endpoint,
-                            ProofQuestion { turn.now().time_since_epoch() } });
+                            ProofQuery { turn.now().time_since_epoch() } });
 }
 
 void KeyGuard::readStore (Turn& turn)
 {
     m_readAt = turn.now();
-    turn.emit (ReadTopic { StoreTopic::routes, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::routes, TopicReadMode::once, {}, {} });
 }
 
 void KeyGuard::logProofChange (Turn& turn)
--- a/modules/plankledge_policy/relay/access/KeyGuard.h
+++ b/modules/plankledge_policy/relay/access/KeyGuard.h
@@ -45,7 +45,7 @@
     void onConfirmed (Time askedAt) noexcept;
 
     /** Answers a peer's question with the age of the own proof, if there is a usable one. */
-    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const ProofQuestion& question) const;
+    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const ProofQuery& question) const;
 
     /** Adds a peer's answer to the proof. Answers with implausible times are ignored. */
     void onAnswer (Turn& turn, const ProofAnswer& answer);
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -76,7 +76,7 @@
     const auto question = m_nextQuestion++;
     m_questions[question] = { request, organisation, instance, turn.now() };
     m_byRequest[request] = question;
-    turn.emit (SendToPeer { instance, home->m_member.m_endpoint, LimitQuestion { question, organisation } });
+    turn.emit (SendToPeer { instance, home->m_member.m_endpoint, LimitQuery { question, organisation } });
     return std::nullopt;
 }
 
@@ -92,7 +92,7 @@
 }
 
 void OrganisationLimits::onQuestion (Turn& turn, LinkId link, const InstanceName& from,
-                                     const LimitQuestion& question)
+                                     const LimitQuery& question)
 {
     const auto decision = decideAtHome (question.m_organisation, turn.now());
     turn.emit (
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.h
@@ -63,7 +63,7 @@
     /** Cancels a pending question. */
     void forget (CallId request);
 
-    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const LimitQuestion& question);
+    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const LimitQuery& question);
     void onAnswer (Turn& turn, const InstanceName& from, const LimitAnswer& answer);
     void onPeerDown (Turn& turn, const InstanceName& instance);
 
--- a/modules/plankledge_policy/relay/store/MemberDirectory.cpp
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.cpp
@@ -32,9 +32,9 @@
         m_entries[instance] = { std::move (member), m_end };
 }
 
-MembersTold MemberDirectory::since (const StorePlace& have) const
+MembersUpdate MemberDirectory::since (const StorePosition& have) const
 {
-    MembersTold changes;
+    MembersUpdate changes;
     changes.m_end = m_end;
 
     for (const auto& [instance, entry] : m_entries)
--- a/modules/plankledge_policy/relay/store/MemberDirectory.h
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.h
@@ -28,10 +28,10 @@
     void apply (const MembersRead& read);
 
     /** @returns the end of the known records; it has no offset until the first listing is complete */
-    StorePlace end() const noexcept { return m_end; }
+    StorePosition end() const noexcept { return m_end; }
 
     /** @returns the changes since the given position */
-    MembersTold since (const StorePlace& have) const;
+    MembersUpdate since (const StorePosition& have) const;
 
     /** @returns true if the store has a record of this instance with the same service, zone and address,
         of any incarnation */
@@ -42,7 +42,7 @@
     struct Entry
     {
         std::optional<Member> m_member; /**< nullopt: withdrawn */
-        StorePlace m_changedAt;
+        StorePosition m_changedAt;
     };
 
     void stage (const InstanceName& instance, std::optional<Member> member)
@@ -53,7 +53,7 @@
     std::map<InstanceName, Entry> m_entries;
     std::map<InstanceName, std::optional<Member>> m_staged; /**< by an incomplete listing */
     StoreEra m_stagedEra = 0;
-    StorePlace m_end;
+    StorePosition m_end;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/store/StoreFollowers.cpp
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.cpp
@@ -68,7 +68,7 @@
             continue;
 
         ++reachableCount;
-        readerCount += (isSelf ? isReached : peer->m_store.m_isReached) ? 1 : 0;
+        readerCount += (isSelf ? isReached : peer->m_store.m_isStoreReachable) ? 1 : 0;
     }
 
     return chosen;
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -79,15 +79,15 @@
     if (m_directory.end().isKnown())
         return; // already received from a peer
 
-    turn.emit (ReadTopic { StoreTopic::members, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::once, {}, {} });
 }
 
 //==============================================================================
 void StoreSync::onTick (Turn& turn, bool areRoutesKnown)
 {
     listMembersWhenDue (turn);
-    m_isReached = ! m_storeLostSince.has_value() || turn.now() - *m_storeLostSince <= storeTimeout();
-    m_chosen = m_followers.choose (m_peers, m_isReached, turn.now());
+    m_isStoreReachable = ! m_storeLostSince.has_value() || turn.now() - *m_storeLostSince <= storeTimeout();
+    m_chosen = m_followers.choose (m_peers, m_isStoreReachable, turn.now());
     updateLastSeenTimes (turn.now());
 
     // Until the members are known, a node would always select itself.
@@ -122,7 +122,7 @@
         return nullptr;
 
     for (const auto* peer : chosenPeers())
-        if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isReached)
+        if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isStoreReachable)
             return peer;
 
     return nullptr;
@@ -130,7 +130,7 @@
 
 void StoreSync::updateLastSeenTimes (Time now)
 {
-    if (m_isFollowing && m_isReached)
+    if (m_isFollowing && m_isStoreReachable)
         m_readerSeenAt = now;
 
     for (const auto* peer : chosenPeers())
@@ -139,7 +139,7 @@
             continue;
 
         m_followerSeenAt = now;
-        m_readerSeenAt = peer->m_store.m_isReached ? now : m_readerSeenAt;
+        m_readerSeenAt = peer->m_store.m_isStoreReachable ? now : m_readerSeenAt;
     }
 }
 
@@ -154,7 +154,7 @@
     const bool isChange = isFollowing != m_isFollowing;
     m_isFollowing = isFollowing;
     m_readWait = wait;
-    const auto reading = isFollowing ? TopicReading::follow : TopicReading::rest;
+    const auto reading = isFollowing ? TopicReadMode::follow : TopicReadMode::rest;
     turn.emit (ReadTopic { StoreTopic::members, reading, m_directory.end(), {} });
     turn.emit (ReadTopic { StoreTopic::routes, reading, {}, wait });
 
@@ -175,7 +175,7 @@
 
     m_routesAt = turn.now() + m_routesInterval;
     m_routesInterval = std::min (m_routesInterval * 2, maxRoutesInterval);
-    turn.emit (ReadTopic { StoreTopic::routes, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::routes, TopicReadMode::once, {}, {} });
 }
 
 void StoreSync::onPause (Time now)
@@ -186,9 +186,9 @@
 }
 
 //==============================================================================
-void StoreSync::onReached (const StoreReached& event, Time now)
+void StoreSync::onReached (const StoreReachabilityChanged& event, Time now)
 {
-    if (event.m_isReached)
+    if (event.m_isStoreReachable)
         m_storeLostSince.reset();
     else if (! m_storeLostSince.has_value())
         m_storeLostSince = now;
@@ -202,14 +202,14 @@
     return m_directory.end() > before;
 }
 
-bool StoreSync::onMembersTold (Turn& turn, const MembersTold& told)
+bool StoreSync::onMembersUpdate (Turn& turn, const MembersUpdate& told)
 {
     if (told.m_end <= m_directory.end())
         return false;
 
     // The update contains all records, so the listing in progress is no longer needed.
     if (! m_directory.end().isKnown() && ! m_isFollowing)
-        turn.emit (ReadTopic { StoreTopic::members, TopicReading::rest, {}, {} });
+        turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::rest, {}, {} });
 
     const MembersRead read { told.m_members, told.m_withdrawn, {}, told.m_end };
     m_directory.apply (read);
@@ -313,7 +313,7 @@
 /** Otherwise nodes that ended without withdrawing their records would stay in the store for ever. */
 void StoreSync::withdrawUnreachableNodes (Turn& turn)
 {
-    if (! m_chosen.m_isFirst || ! m_isFollowing || ! m_isReached)
+    if (! m_chosen.m_isFirst || ! m_isFollowing || ! m_isStoreReachable)
         return m_unreachableSince.clear();
 
     for (const auto* peer : m_peers.ofZone (m_self.m_zone))
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -75,10 +75,10 @@
 
         @returns true if they contained changes
     */
-    bool onMembersTold (Turn& turn, const MembersTold& told);
+    bool onMembersUpdate (Turn& turn, const MembersUpdate& told);
 
     /** Must be called when the store becomes reachable or unreachable. */
-    void onReached (const StoreReached& event, Time now);
+    void onReached (const StoreReachabilityChanged& event, Time now);
 
     /** Pulls the records that a peer has and this node lacks. */
     void onPeerView (Turn& turn, const Peer& peer);
@@ -86,10 +86,10 @@
     /** @returns the followers to which a hello is due */
     std::vector<const Peer*> due (Time now, bool areRoutesKnown) const;
 
-    StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isReached }; }
+    StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isStoreReachable }; }
 
     /** @returns the changes since the given position */
-    MembersTold since (const StorePlace& have) const { return m_directory.since (have); }
+    MembersUpdate since (const StorePosition& have) const { return m_directory.since (have); }
 
 private:
     //==============================================================================
@@ -123,7 +123,7 @@
     bool m_isFollowing = false;
     Duration m_maxReadWait {}; /**< as the primary follower; zero: default */
     Duration m_readWait {};    /**< of reads of the routes, while following; zero: not primary */
-    bool m_isReached = true;
+    bool m_isStoreReachable = true;
     StoreEra m_checkedEra = 0;       /**< of the records that were last searched for the own record */
     std::optional<Time> m_rewriteAt; /**< when to write the own record that the store has lost */
     bool m_isPublished = false;
--- a/modules/plankledge_runtime/RumourSocket.cpp
+++ b/modules/plankledge_runtime/GossipSocket.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_runtime/RumourSocket.h"
+#include "plankledge_runtime/GossipSocket.h"
 
 #include "plankledge_wire/FrameCodec.h"
 #include <array>
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-struct RumourSocket::Implementation : std::enable_shared_from_this<RumourSocket::Implementation>
+struct GossipSocket::Implementation : std::enable_shared_from_this<GossipSocket::Implementation>
 {
     Implementation (asio::io_context& context, Hooks hooks)
         : m_socket (context)
@@ -39,12 +39,12 @@
     void processDatagram (std::size_t size)
     {
         m_bytes += size;
-        auto rumour = decodeRumour (std::string_view (m_buffer.data(), size));
+        auto gossip = decodeGossipMessage (std::string_view (m_buffer.data(), size));
 
-        if (rumour.ok())
-            m_hooks.m_onRumour (*std::move (rumour));
+        if (gossip.ok())
+            m_hooks.m_onGossip (*std::move (gossip));
         else
-            m_hooks.m_onBadDatagram (wireErrorOf (rumour.status()));
+            m_hooks.m_onBadDatagram (wireErrorOf (gossip.status()));
     }
 
     udp::socket m_socket;
@@ -55,18 +55,18 @@
 };
 
 //==============================================================================
-RumourSocket::RumourSocket (asio::io_context& context, Hooks hooks)
+GossipSocket::GossipSocket (asio::io_context& context, Hooks hooks)
     : m_implementation (std::make_shared<Implementation> (context, std::move (hooks)))
 {
 }
 
-RumourSocket::~RumourSocket()
+GossipSocket::~GossipSocket()
 {
     boost::system::error_code ignored;
     m_implementation->m_socket.close (ignored);
 }
 
-absl::Status RumourSocket::listen (const Endpoint& endpoint)
+absl::Status GossipSocket::listen (const Endpoint& endpoint)
 {
     auto& socket = m_implementation->m_socket;
     boost::system::error_code error;
@@ -88,7 +88,7 @@
     return absl::OkStatus();
 }
 
-void RumourSocket::send (const Endpoint& endpoint, const Rumour& rumour)
+void GossipSocket::send (const Endpoint& endpoint, const GossipMessage& gossip)
 {
     boost::system::error_code error;
     const auto address = asio::ip::make_address (endpoint.m_ip, error);
@@ -97,12 +97,12 @@
         return;
 
     // A datagram that cannot be sent now counts as lost.
-    const auto bytes = encodeRumour (rumour);
+    const auto bytes = encodeGossipMessage (gossip);
     m_implementation->m_socket.send_to (asio::buffer (bytes), { address, endpoint.m_port }, 0, error);
     m_implementation->m_bytes += bytes.size();
 }
 
-std::uint64_t RumourSocket::bytes() const noexcept
+std::uint64_t GossipSocket::bytes() const noexcept
 {
     return m_implementation->m_bytes;
 }
--- a/modules/plankledge_runtime/RumourSocket.h
+++ b/modules/plankledge_runtime/GossipSocket.h
@@ -15,23 +15,23 @@
 
 //==============================================================================
 /** Sends and receives rumours (gossip) as UDP datagrams. Malformed datagrams are reported and dropped. */
-class RumourSocket
+class GossipSocket
 {
 public:
     //==============================================================================
     struct Hooks
     {
-        std::function<void (Rumour)> m_onRumour;
+        std::function<void (GossipMessage)> m_onGossip;
         std::function<void (WireError)> m_onBadDatagram;
     };
 
-    RumourSocket (boost::asio::io_context& context, Hooks hooks);
-    ~RumourSocket();
+    GossipSocket (boost::asio::io_context& context, Hooks hooks);
+    ~GossipSocket();
 
     /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
-    void send (const Endpoint& endpoint, const Rumour& rumour);
+    void send (const Endpoint& endpoint, const GossipMessage& gossip);
 
     /** @returns bytes sent and received since the start */
     std::uint64_t bytes() const noexcept;
--- a/modules/plankledge_runtime/Http.h
+++ b/modules/plankledge_runtime/Http.h
@@ -33,7 +33,7 @@
     HttpHeaders m_headers;
     std::string m_contentType = "application/json";
     std::string m_body;
-    bool m_closes = false; /**< whether the connection closes after it */
+    bool m_closesConnection = false; /**< whether the connection closes after it */
 };
 
 /** The largest request or response body that is read. */
--- a/modules/plankledge_runtime/HttpMessages.cpp
+++ b/modules/plankledge_runtime/HttpMessages.cpp
@@ -33,7 +33,7 @@
     HttpResponse response;
     response.m_status = static_cast<std::uint16_t> (message.result_int());
     response.m_contentType = std::string (message[http::field::content_type]);
-    response.m_closes = ! message.keep_alive();
+    response.m_closesConnection = ! message.keep_alive();
 
     for (const auto& field : message)
         response.m_headers.emplace_back (std::string (field.name_string()), std::string (field.value()));
--- a/modules/plankledge_runtime/HttpServer.cpp
+++ b/modules/plankledge_runtime/HttpServer.cpp
@@ -155,7 +155,7 @@
             if (! response.has_value())
                 break;
 
-            keepAlive = keepAlive && ! response->m_closes && ! m_closesAfterResponses;
+            keepAlive = keepAlive && ! response->m_closesConnection && ! m_closesAfterResponses;
             auto message = toMessage (std::move (*response), version, keepAlive);
             stream.expires_after (writeTimeout);
             const auto [writeError, written] = co_await http::async_write (stream, message, asTuple);
--- a/modules/plankledge_runtime/LinkTraffic.cpp
+++ b/modules/plankledge_runtime/LinkTraffic.cpp
@@ -27,10 +27,10 @@
     FrameKind operator() (const RoutesPull&) const noexcept { return FrameKind::routes; }
     FrameKind operator() (const RoutesText&) const noexcept { return FrameKind::routes; }
     FrameKind operator() (const MembersPull&) const noexcept { return FrameKind::members; }
-    FrameKind operator() (const MembersTold&) const noexcept { return FrameKind::members; }
-    FrameKind operator() (const ProofQuestion&) const noexcept { return FrameKind::proof; }
+    FrameKind operator() (const MembersUpdate&) const noexcept { return FrameKind::members; }
+    FrameKind operator() (const ProofQuery&) const noexcept { return FrameKind::proof; }
     FrameKind operator() (const ProofAnswer&) const noexcept { return FrameKind::proof; }
-    FrameKind operator() (const LimitQuestion&) const noexcept { return FrameKind::limit; }
+    FrameKind operator() (const LimitQuery&) const noexcept { return FrameKind::limit; }
     FrameKind operator() (const LimitAnswer&) const noexcept { return FrameKind::limit; }
     FrameKind operator() (const CrashUpdate&) const noexcept { return FrameKind::crashes; }
     FrameKind operator() (const CrashPull&) const noexcept { return FrameKind::crashes; }
--- a/modules/plankledge_runtime/PeerEdge.cpp
+++ b/modules/plankledge_runtime/PeerEdge.cpp
@@ -21,8 +21,9 @@
                  [this, &node] (const InstanceName& to, const PeerMessage& message, std::size_t bytes) {
                      countFrame (node, to, message, bytes);
                  } })
-    , m_rumours (context, { [&node] (Rumour rumour) { node.submit (RumourReceived { std::move (rumour) }); },
-                            [&metrics] (WireError error) { ++metrics.m_badDatagrams[error]; } })
+    , m_gossip (context,
+                { [&node] (GossipMessage gossip) { node.submit (GossipReceived { std::move (gossip) }); },
+                  [&metrics] (WireError error) { ++metrics.m_badDatagrams[error]; } })
 {
 }
 
@@ -37,7 +38,7 @@
 absl::Status PeerEdge::listen (const Endpoint& endpoint)
 {
     auto status = m_links.listen (endpoint);
-    status.Update (m_rumours.listen (endpoint));
+    status.Update (m_gossip.listen (endpoint));
     return status;
 }
 
@@ -51,9 +52,9 @@
     m_links.reply (effect.m_link, effect.m_instance, effect.m_message);
 }
 
-void PeerEdge::carryOut (const SendRumour& effect)
+void PeerEdge::carryOut (const SendGossip& effect)
 {
-    m_rumours.send (effect.m_endpoint, effect.m_rumour);
+    m_gossip.send (effect.m_endpoint, effect.m_gossipMessage);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/PeerEdge.h
+++ b/modules/plankledge_runtime/PeerEdge.h
@@ -1,10 +1,10 @@
 #pragma once
 
+#include "plankledge_runtime/GossipSocket.h"
 #include "plankledge_runtime/LinkTraffic.h"
 #include "plankledge_runtime/Node.h"
 #include "plankledge_runtime/NodeMetrics.h"
 #include "plankledge_runtime/PeerLinks.h"
-#include "plankledge_runtime/RumourSocket.h"
 
 namespace plankledge
 {
@@ -22,10 +22,10 @@
 
     void carryOut (const SendToPeer& effect);
     void carryOut (const ReplyOnLink& effect);
-    void carryOut (const SendRumour& effect);
+    void carryOut (const SendGossip& effect);
 
     /** @returns bytes of control traffic since the start, for frames and datagrams */
-    ControlTraffic traffic() const noexcept { return { m_links.controlBytes(), m_rumours.bytes(), 0 }; }
+    ControlTraffic traffic() const noexcept { return { m_links.controlBytes(), m_gossip.bytes(), 0 }; }
 
     const LinkTraffic& linkTraffic() const noexcept { return m_traffic; }
 
@@ -35,7 +35,7 @@
 
     LinkTraffic m_traffic;
     PeerLinks m_links;
-    RumourSocket m_rumours;
+    GossipSocket m_gossip;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/RelayCallerEdge.cpp
+++ b/modules/plankledge_runtime/RelayCallerEdge.cpp
@@ -53,7 +53,7 @@
     const auto pending = std::move (found->second);
     m_pendingRequests.erase (found);
     auto response = m_hooks.m_encode (pending.m_requestId, effect.m_result);
-    response.m_closes = effect.m_closes;
+    response.m_closesConnection = effect.m_closesConnection;
     pending.m_respond (std::move (response));
 }
 
--- a/modules/plankledge_runtime/RelayTargetEdge.cpp
+++ b/modules/plankledge_runtime/RelayTargetEdge.cpp
@@ -10,7 +10,7 @@
     , m_hooks (std::move (hooks))
     , m_client (
           context, [this] (CallId call, TargetClient::Answer answer) { onDone (call, std::move (answer)); },
-          m_hooks.m_isAnswerTo)
+          m_hooks.m_isResponseTo)
 {
 }
 
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -72,10 +72,10 @@
 //==============================================================================
 struct TargetClient::Implementation : std::enable_shared_from_this<TargetClient::Implementation>
 {
-    Implementation (asio::io_context& context, Done done, Matcher isAnswerTo, TimeSource time)
+    Implementation (asio::io_context& context, Done done, Matcher isResponseTo, TimeSource time)
         : m_context (context)
         , m_done (std::move (done))
-        , m_isAnswerTo (std::move (isAnswerTo))
+        , m_isResponseTo (std::move (isResponseTo))
         , m_time (std::move (time))
     {
     }
@@ -111,7 +111,7 @@
         if (! response.has_value())
             co_return m_done (call, TargetFailure::broken);
 
-        if (! response->m_closes && ! writeError)
+        if (! response->m_closesConnection && ! writeError)
             keepIdle (stream, idleTimeoutOf (response->m_headers));
 
         m_done (call, std::move (*response));
@@ -136,14 +136,14 @@
 
             auto response = toResponse (parser.release());
 
-            if (m_isAnswerTo && ! m_isAnswerTo (request, response))
+            if (m_isResponseTo && ! m_isResponseTo (request, response))
                 continue;
 
             // Bytes after the response: its length is wrong, or it was sent twice.
-            if (buffer.size() > 0 && ! m_isAnswerTo)
+            if (buffer.size() > 0 && ! m_isResponseTo)
                 co_return std::nullopt;
 
-            response.m_closes = response.m_closes || buffer.size() > 0;
+            response.m_closesConnection = response.m_closesConnection || buffer.size() > 0;
             co_return response;
         }
 
@@ -243,7 +243,7 @@
     asio::io_context& m_context;
     Endpoint m_target;
     Done m_done;
-    Matcher m_isAnswerTo;
+    Matcher m_isResponseTo;
     TimeSource m_time;
     std::map<CallId, Stream> m_active;
     std::list<IdleConnection> m_idle;
@@ -251,8 +251,8 @@
 };
 
 //==============================================================================
-TargetClient::TargetClient (asio::io_context& context, Done done, Matcher isAnswerTo, TimeSource time)
-    : m_implementation (std::make_shared<Implementation> (context, std::move (done), std::move (isAnswerTo),
+TargetClient::TargetClient (asio::io_context& context, Done done, Matcher isResponseTo, TimeSource time)
+    : m_implementation (std::make_shared<Implementation> (context, std::move (done), std::move (isResponseTo),
                                                           std::move (time)))
 {
 }
--- a/modules/plankledge_runtime/TargetClient.h
+++ b/modules/plankledge_runtime/TargetClient.h
@@ -38,11 +38,11 @@
         such as a duplicate response to an earlier request. */
     using Matcher = std::function<bool (const HttpHeaders& request, const HttpResponse& response)>;
 
-    /** @param isAnswerTo   if empty, each response is taken as the one to the preceding request, and bytes
+    /** @param isResponseTo   if empty, each response is taken as the one to the preceding request, and bytes
                             after it make the call fail, since responses cannot be matched otherwise
         @param time         the clock by which idle connections expire
     */
-    TargetClient (boost::asio::io_context& context, Done done, Matcher isAnswerTo = {},
+    TargetClient (boost::asio::io_context& context, Done done, Matcher isResponseTo = {},
                   TimeSource time = BootClock::now);
     ~TargetClient();
 
--- a/modules/plankledge_wire/FrameCodec.cpp
+++ b/modules/plankledge_wire/FrameCodec.cpp
@@ -106,9 +106,9 @@
 struct Datagram
 {
     std::uint16_t m_version = protocolVersion;
-    Rumour m_rumour;
+    GossipMessage m_gossipMessage;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_version, m_rumour); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_version, m_gossipMessage); }
 };
 
 } // namespace
@@ -160,20 +160,20 @@
 }
 
 //==============================================================================
-std::string encodeRumour (Rumour rumour)
+std::string encodeGossipMessage (GossipMessage gossip)
 {
-    auto bytes = encode (Datagram { protocolVersion, rumour });
+    auto bytes = encode (Datagram { protocolVersion, gossip });
 
-    while (bytes.size() > maximumDatagramBytes && ! rumour.m_news.empty())
+    while (bytes.size() > maximumDatagramBytes && ! gossip.m_memberUpdates.empty())
     {
-        rumour.m_news.pop_back();
-        bytes = encode (Datagram { protocolVersion, rumour });
+        gossip.m_memberUpdates.pop_back();
+        bytes = encode (Datagram { protocolVersion, gossip });
     }
 
     return bytes;
 }
 
-absl::StatusOr<Rumour> decodeRumour (std::string_view datagram)
+absl::StatusOr<GossipMessage> decodeGossipMessage (std::string_view datagram)
 {
     if (datagram.size() > maximumDatagramBytes)
         return toStatus (WireError::tooLarge);
@@ -186,10 +186,11 @@
     if (! decoded.ok())
         return decoded.status();
 
-    if (! isValid (decoded->m_rumour.m_sender) || ! areValid (decoded->m_rumour.m_news))
+    if (! isValid (decoded->m_gossipMessage.m_sender) ||
+        ! areValid (decoded->m_gossipMessage.m_memberUpdates))
         return toStatus (WireError::malformed);
 
-    return decoded->m_rumour;
+    return decoded->m_gossipMessage;
 }
 
 } // namespace plankledge
--- a/modules/plankledge_wire/FrameCodec.h
+++ b/modules/plankledge_wire/FrameCodec.h
@@ -52,9 +52,9 @@
 absl::StatusOr<Frame> decodeFrame (std::string_view payload, const InstanceName& receiver);
 
 /** @returns the encoded datagram; updates that exceed maximumDatagramBytes are omitted */
-std::string encodeRumour (Rumour rumour);
+std::string encodeGossipMessage (GossipMessage gossip);
 
 /** @returns the rumour, or a WireError as a status */
-absl::StatusOr<Rumour> decodeRumour (std::string_view datagram);
+absl::StatusOr<GossipMessage> decodeGossipMessage (std::string_view datagram);
 
 } // namespace plankledge
--- a/programs/plankctl.cpp
+++ b/programs/plankctl.cpp
@@ -59,7 +59,7 @@
     const auto parsed = parseDeclarations (*text);
 
     for (const auto& fault : parsed.m_faults)
-        fmt::print (stderr, "{}: {}: {}\n", path, fault.m_place, nameOf (fault.m_error));
+        fmt::print (stderr, "{}: {}: {}\n", path, fault.m_location, nameOf (fault.m_error));
 
     return parsed.m_faults.empty() ? text : std::nullopt;
 }
@@ -205,7 +205,7 @@
         return exitFailure;
     }
 
-    if (proposal->m_verdict != Verdict::accepted)
+    if (proposal->m_verdict != ProposalVerdict::accepted)
     {
         fmt::print (stderr, "conflict: version {} is in force\n", proposal->m_version);
         return exitConflict;
@@ -243,9 +243,10 @@
 
     for (const auto& proposal : publisher.verdicts())
         fmt::print ("{}  {}\n",
-                    proposal.m_verdict == Verdict::accepted   ? fmt::format ("version {}", proposal.m_version)
-                    : proposal.m_verdict == Verdict::conflict ? std::string ("conflict")
-                                                              : std::string ("invalid"),
+                    proposal.m_verdict == ProposalVerdict::accepted
+                        ? fmt::format ("version {}", proposal.m_version)
+                    : proposal.m_verdict == ProposalVerdict::conflict ? std::string ("conflict")
+                                                                      : std::string ("invalid"),
                     proposal.m_id);
 
     fmt::print ("in force: version {}\n", state->m_version);
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -174,7 +174,7 @@
         printStep (entry, fmt::format ("receives attempt {} of age {} ms", attempt, toMilliseconds (age)));
 
         if (m_rig.isAlive (entry))
-            m_sent.push_back ({ attempt, m_rig.request (entry, makeOnce (m_key, attempt, age)) });
+            m_sent.push_back ({ attempt, m_rig.request (entry, makeNonRepeatable (m_key, attempt, age)) });
     }
 
     void planFaults()
@@ -387,7 +387,7 @@
             key = name;
     }
 
-    rig.request ("j1", makeOnce (key, 1, Duration::zero()));
+    rig.request ("j1", makeNonRepeatable (key, 1, Duration::zero()));
     rig.run (std::chrono::seconds (1));
     REQUIRE (rig.runs().size() == 1);
 
@@ -398,7 +398,7 @@
         REQUIRE_FALSE (rig.isAlive ("n1"));
     }
 
-    rig.request ("n0", makeOnce (key, 2, std::chrono::seconds (leaves ? 5 : 1)));
+    rig.request ("n0", makeNonRepeatable (key, 2, std::chrono::seconds (leaves ? 5 : 1)));
     rig.run (std::chrono::seconds (3));
     return rig.runs().size();
 }
--- a/tests/contracts/BadInput_test.cpp
+++ b/tests/contracts/BadInput_test.cpp
@@ -125,10 +125,10 @@
 {
     Fixture()
     {
-        m_cluster.propose (landRegistry, 0, "first");
+        m_cluster.propose (landRegistryDeclarations, 0, "first");
         m_cluster.addPair ("n1", "plans");
         m_cluster.addPair ("n2", "plans");
-        m_cluster.waitReady();
+        m_cluster.waitUntilReady();
     }
 
     void checkStillServes()
@@ -186,7 +186,7 @@
 TEST_CASE ("node to node: a bad frame closes only its own connection")
 {
     Fixture fixture;
-    auto slow = fixture.m_cluster.callLater ("n2", path);
+    auto slow = fixture.m_cluster.callAsync ("n2", path);
 
     for (const auto& row : badFrames())
     {
@@ -246,7 +246,7 @@
     CHECK (fixture.m_cluster.plankctl ({ "--platform=nowhere", "history" }) == 2);
     CHECK (fixture.m_cluster.plankctl ({ "check", fixture.m_cluster.writeFile ("bad.json", "{}") }) == 2);
     CHECK (fixture.m_cluster.plankctl (
-               { "check", fixture.m_cluster.writeFile ("good.json", landRegistry) }) == 0);
+               { "check", fixture.m_cluster.writeFile ("good.json", landRegistryDeclarations) }) == 0);
     fixture.checkStillServes();
 }
 
--- a/tests/contracts/ConfigurationJudge_test.cpp
+++ b/tests/contracts/ConfigurationStateMachine_test.cpp
@@ -1,7 +1,7 @@
-/*  Contract of ConfigurationJudge: all readers of the configuration stream reach the same verdicts, whichever
-    part of the stream they read, and the version never decreases. */
+/*  Contract of ConfigurationStateMachine: all readers of the configuration stream reach the same verdicts,
+   whichever part of the stream they read, and the version never decreases. */
 
-#include "plankledge_policy/configuration/ConfigurationJudge.h"
+#include "plankledge_policy/configuration/ConfigurationStateMachine.h"
 #include <doctest/doctest.h>
 #include <random>
 
@@ -11,9 +11,9 @@
 namespace
 {
 
-ConfigurationJudge makeJudge()
+ConfigurationStateMachine makeJudge()
 {
-    return ConfigurationJudge ([] (const std::string& text) {
+    return ConfigurationStateMachine ([] (const std::string& text) {
         return text == "bad" ? std::nullopt : std::optional<Declarations> (Declarations {});
     });
 }
@@ -47,11 +47,11 @@
                              proposal (3, 1, "two"), proposal (4, 9, "far") },
                            5));
     REQUIRE (results.size() == 5);
-    CHECK (results[0].m_verdict == Verdict::accepted);
-    CHECK (results[1].m_verdict == Verdict::conflict);
-    CHECK (results[2].m_verdict == Verdict::invalid);
-    CHECK (results[3].m_verdict == Verdict::accepted);
-    CHECK (results[4].m_verdict == Verdict::conflict);
+    CHECK (results[0].m_verdict == ProposalVerdict::accepted);
+    CHECK (results[1].m_verdict == ProposalVerdict::conflict);
+    CHECK (results[2].m_verdict == ProposalVerdict::invalid);
+    CHECK (results[3].m_verdict == ProposalVerdict::accepted);
+    CHECK (results[4].m_verdict == ProposalVerdict::conflict);
     CHECK (judge.state() == ConfigurationState { 2, 4, "two" });
 }
 
@@ -65,7 +65,7 @@
     {
         const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
         REQUIRE (results.size() == 1);
-        CHECK (results[0].m_verdict == Verdict::accepted);
+        CHECK (results[0].m_verdict == ProposalVerdict::accepted);
         CHECK (judge.state().m_version == 3);
     }
 
@@ -85,13 +85,13 @@
     {
         CHECK (judge.adopt ({ 7, 20, "seven" }));
         CHECK (judge.nextOffset() == 21);
-        CHECK (judge.canJudge());
+        CHECK (judge.canDecide());
     }
 
     SUBCASE ("a peer's state from before the gap, then a checkpoint")
     {
         CHECK (judge.adopt ({ 1, 2, "one" }));
-        CHECK_FALSE (judge.canJudge());
+        CHECK_FALSE (judge.canDecide());
         const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
         REQUIRE (results.size() == 1);
         CHECK (judge.state().m_version == 3);
@@ -168,7 +168,7 @@
             last = reader.state().m_version;
         }
 
-        if (reader.canJudge() && reader.state().m_version > 0)
+        if (reader.canDecide() && reader.state().m_version > 0)
             CHECK (reader.state().m_version == reference.state().m_version);
     }
 }
--- a/tests/contracts/Declarations_test.cpp
+++ b/tests/contracts/Declarations_test.cpp
@@ -58,7 +58,7 @@
 
         for (std::size_t index = 0; index < row.m_faults.size(); ++index)
         {
-            CHECK (parsed.m_faults[index].m_place == row.m_faults[index].m_place);
+            CHECK (parsed.m_faults[index].m_location == row.m_faults[index].m_location);
             CHECK (nameOf (parsed.m_faults[index].m_error) == nameOf (row.m_faults[index].m_error));
         }
     }
--- a/tests/contracts/Logger_test.cpp
+++ b/tests/contracts/Logger_test.cpp
@@ -77,7 +77,7 @@
         sink.append (line);
 
     CHECK (sink.dropped() > 0);
-    CHECK (sink.pending() <= LineSink::mostPendingBytes);
+    CHECK (sink.pending() <= LineSink::maxPendingBytes);
 
     // No line is truncated.
     std::string text;
@@ -97,7 +97,7 @@
     Pipe pipe;
     Logger logger ("node-1", Severity::info, pipe.writeEnd());
 
-    for (unsigned index = 0; index < 3 * Logger::floodLimit; ++index)
+    for (unsigned index = 0; index < 3 * Logger::maxLinesPerSecond; ++index)
         logger.write (Severity::info, "flood");
 
     logger.write (Severity::info, "flood", { { "request", "sampled" } }, true);
@@ -105,7 +105,7 @@
     const auto text = pipe.readAll();
 
     // The loop may span two of the limit's intervals of one second.
-    CHECK (std::count (text.begin(), text.end(), '\n') <= 2 * Logger::floodLimit + 1);
+    CHECK (std::count (text.begin(), text.end(), '\n') <= 2 * Logger::maxLinesPerSecond + 1);
     CHECK (text.find ("\"sampled\"") != std::string::npos);
 }
 
--- a/tests/contracts/Programs_test.cpp
+++ b/tests/contracts/Programs_test.cpp
@@ -157,13 +157,13 @@
 TEST_CASE ("replaying a recorded trace yields the same effects, and a modified or truncated one is detected")
 {
     Cluster cluster;
-    cluster.propose (landRegistry, 0, "first");
+    cluster.propose (landRegistryDeclarations, 0, "first");
     const auto trace = cluster.writeFile ("trace", "");
     PairOptions options;
     options.m_nodeFlags = { "--record_trace", trace };
     cluster.addPair ("l1", "lodgement", options);
     cluster.addPair ("l2", "lodgement");
-    cluster.waitReady();
+    cluster.waitUntilReady();
 
     constexpr int calls = 20;
 
--- a/tests/contracts/Wire_test.cpp
+++ b/tests/contracts/Wire_test.cpp
@@ -122,32 +122,32 @@
 
         bytes.resize (random() % (bytes.size() + 1));
         (void)decodeFrame (bytes, "n2");
-        (void)decodeRumour (bytes);
+        (void)decodeGossipMessage (bytes);
     }
 }
 
 TEST_CASE ("a rumour fits a datagram, and hostile datagrams are rejected with a typed error")
 {
-    Rumour rumour;
-    rumour.m_sender = { { "n1", 42 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
-    rumour.m_version = 3;
+    GossipMessage gossip;
+    gossip.m_sender = { { "n1", 42 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
+    gossip.m_version = 3;
 
     for (int number = 0; number < 100; ++number)
-        rumour.m_news.push_back (rumour.m_sender);
+        gossip.m_memberUpdates.push_back (gossip.m_sender);
 
-    const auto bytes = encodeRumour (rumour);
+    const auto bytes = encodeGossipMessage (gossip);
     CHECK (bytes.size() <= maximumDatagramBytes);
-    const auto decoded = decodeRumour (bytes);
+    const auto decoded = decodeGossipMessage (bytes);
     REQUIRE (decoded.ok());
-    CHECK (decoded->m_sender == rumour.m_sender);
-    CHECK (! decoded->m_news.empty());
+    CHECK (decoded->m_sender == gossip.m_sender);
+    CHECK (! decoded->m_memberUpdates.empty());
 
-    CHECK (wireErrorOf (decodeRumour (std::string (2000, 'x')).status()) == WireError::tooLarge);
-    CHECK (wireErrorOf (decodeRumour ("").status()) == WireError::truncated);
-    CHECK (wireErrorOf (decodeRumour (overwrite<std::uint16_t> (bytes, 0, 9)).status()) ==
+    CHECK (wireErrorOf (decodeGossipMessage (std::string (2000, 'x')).status()) == WireError::tooLarge);
+    CHECK (wireErrorOf (decodeGossipMessage ("").status()) == WireError::truncated);
+    CHECK (wireErrorOf (decodeGossipMessage (overwrite<std::uint16_t> (bytes, 0, 9)).status()) ==
            WireError::wrongVersion);
-    CHECK (wireErrorOf (decodeRumour (bytes.substr (0, 20)).status()) == WireError::malformed);
-    CHECK (wireErrorOf (decodeRumour (bytes + "x").status()) == WireError::trailingBytes);
+    CHECK (wireErrorOf (decodeGossipMessage (bytes.substr (0, 20)).status()) == WireError::malformed);
+    CHECK (wireErrorOf (decodeGossipMessage (bytes + "x").status()) == WireError::trailingBytes);
 }
 
 } // namespace plankledge::test
--- a/tests/platform/Credentials_test.cpp
+++ b/tests/platform/Credentials_test.cpp
@@ -2,7 +2,7 @@
     target, and only a single well-formed key may be accepted. */
 
 #include "plankledge_runtime/HttpServer.h"
-#include "platform/HttpDialect.h"
+#include "platform/HttpCodec.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
--- a/tests/platform/HttpDialect_test.cpp
+++ b/tests/platform/HttpCodec_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/HttpDialect.h"
+#include "platform/HttpCodec.h"
 
 #include <doctest/doctest.h>
 
@@ -158,9 +158,9 @@
 TEST_CASE ("a response is matched to its request by id")
 {
     const HttpHeaders request { { "Request-Id", "id-1" } };
-    CHECK (isAnswerTo (request, targetAnswer (200, { { "request-id", "id-1" } })));
-    CHECK_FALSE (isAnswerTo (request, targetAnswer (200, { { "Request-Id", "id-2" } })));
-    CHECK_FALSE (isAnswerTo (request, targetAnswer (200, {})));
+    CHECK (isResponseTo (request, targetAnswer (200, { { "request-id", "id-1" } })));
+    CHECK_FALSE (isResponseTo (request, targetAnswer (200, { { "Request-Id", "id-2" } })));
+    CHECK_FALSE (isResponseTo (request, targetAnswer (200, {})));
 }
 
 //==============================================================================
--- a/tests/platform/BadRecordsFuzz_test.cpp
+++ b/tests/platform/MalformedInputFuzz_test.cpp
@@ -4,7 +4,7 @@
 #include "plankledge_formats/PlatformJson.h"
 #include "plankledge_policy/relay/gate/LocalTarget.h"
 #include "plankledge_wire/FrameCodec.h"
-#include "platform/HttpDialect.h"
+#include "platform/HttpCodec.h"
 #include "platform/RoutesJson.h"
 #include "platform/StoreClient.h"
 
@@ -239,10 +239,10 @@
         PeerHello { member, 3, {}, {}, true, { { 1, 17 }, true, true } },
         PeerStatus { 3, {}, { { "route", Milliseconds (5) } }, std::nullopt, {} },
         MembersPull { { 1, 12 } },
-        MembersTold { { member }, { "node-2" }, { 1, 18 } },
-        ProofQuestion { Milliseconds (5) },
+        MembersUpdate { { member }, { "node-2" }, { 1, 18 } },
+        ProofQuery { Milliseconds (5) },
         ProofAnswer { Milliseconds (5), 3, Milliseconds (9) },
-        LimitQuestion { 7, "pulo780" },
+        LimitQuery { 7, "pulo780" },
         LimitAnswer { 7, LimitVerdict::beyond, Milliseconds (4) },
         CrashUpdate { { { { { "node-1", 7 }, 3 }, Milliseconds (5), false, { 1, 2 } } },
                       { { 7, Milliseconds (5) } } },
@@ -258,7 +258,7 @@
         if (! frame.ok())
             continue;
 
-        if (const auto* update = std::get_if<MembersTold> (&frame->m_message))
+        if (const auto* update = std::get_if<MembersUpdate> (&frame->m_message))
             REQUIRE (update->m_members.size() <= 1);
     }
 }
@@ -267,7 +267,7 @@
 {
     const Member member { { "node-1", 7 }, "plans", "a", { "10.0.0.1", 7000 }, MemberState::serving, 0 };
     const Frame frames[] = {
-        { protocolVersion, { "node-1", 7 }, "node-3", MembersTold { { member }, { "node-2" }, { 1, 18 } } },
+        { protocolVersion, { "node-1", 7 }, "node-3", MembersUpdate { { member }, { "node-2" }, { 1, 18 } } },
         { protocolVersion, { "node-1", 7 }, "node-3", MembersPull { { 1, 12 } } },
         { protocolVersion,
           { "node-1", 7 },
--- a/tests/platform/Store_test.cpp
+++ b/tests/platform/Store_test.cpp
@@ -55,7 +55,7 @@
                          m_client,
                          topicName,
                          {},
-                         { [this] (const KeyedPage& page, const StorePlace&) {
+                         { [this] (const KeyedPage& page, const StorePosition&) {
                               for (const auto& record : page.m_records)
                                   m_values[record.m_key] = record.m_value;
                           },
@@ -200,16 +200,16 @@
     for (const auto* header : { "-", "none", "99999999999999999999999" })
     {
         CAPTURE (header);
-        follower.m_store.spoilEra (header);
+        follower.m_store.overrideEra (header);
         follower.m_store.put (topicName, "a", header);
         CHECK (follower.waitForValue ("a", header));
     }
 
-    follower.m_store.spoilEra ("0");
+    follower.m_store.overrideEra ("0");
     follower.m_store.put (topicName, "a", "of the past");
     CHECK (follower.runUntil ([&] { return follower.m_lostCount > 0; }));
     CHECK (follower.m_values.at ("a") != "of the past");
-    follower.m_store.spoilEra ({});
+    follower.m_store.overrideEra ({});
     CHECK (follower.waitForValue ("a", "of the past"));
     CHECK (follower.m_restoredEras.empty());
 }
--- a/tests/promises/AtMostOnce_test.cpp
+++ b/tests/promises/AtMostOnce_test.cpp
@@ -21,12 +21,12 @@
     {
         PairOptions options;
         options.m_serviceMs = serviceMs;
-        m_cluster.propose (landRegistry, 0, "first");
+        m_cluster.propose (landRegistryDeclarations, 0, "first");
 
         for (const auto& instance : trio)
             m_cluster.addPair (instance, "lodgement", options);
 
-        m_cluster.waitReady();
+        m_cluster.waitUntilReady();
     }
 
     bool isRunning (const std::string& key)
@@ -76,9 +76,9 @@
     for (int number = 0; number < 10; ++number)
     {
         const auto key = fmt::format ("twin-{}", number);
-        auto first = cluster.callLater ("l1", path, sending (key, 1, 0));
-        auto second = cluster.callLater ("l2", path, sending (key, 2, 0));
-        auto third = cluster.callLater ("l3", path, { { "Idempotency-Key", key } });
+        auto first = cluster.callAsync ("l1", path, sending (key, 1, 0));
+        auto second = cluster.callAsync ("l2", path, sending (key, 2, 0));
+        auto third = cluster.callAsync ("l3", path, { { "Idempotency-Key", key } });
         const auto answers = { first.get(), second.get(), third.get() };
         int completed = 0;
 
@@ -95,7 +95,7 @@
     Fixture fixture (600);
     auto& cluster = fixture.m_cluster;
     const std::string key = "killed";
-    auto first = cluster.callLater (fixture.third (key), path, sending (key, 1, 0));
+    auto first = cluster.callAsync (fixture.third (key), path, sending (key, 1, 0));
     REQUIRE (fixture.isRunning (key));
     cluster.signalNode (fixture.owner (key), SIGKILL);
     CHECK (outcomeOf (first.get()) == "unknown");
@@ -189,7 +189,7 @@
                 (void)cluster.call (entry, path, sending (fmt::format ("join-{}", number), 2, 2000));
     };
     resendAll();
-    cluster.waitReady();
+    cluster.waitUntilReady();
     resendAll();
 
     for (int number = 0; number < 20; ++number)
--- a/tests/promises/Configuration_test.cpp
+++ b/tests/promises/Configuration_test.cpp
@@ -13,7 +13,7 @@
 
 std::string registryWithSlots (int slots)
 {
-    std::string text = landRegistry;
+    std::string text = landRegistryDeclarations;
     const std::string from = "\"plans\":{\"slots\":20";
     return text.replace (text.find (from), from.size(), fmt::format ("\"plans\":{{\"slots\":{}", slots));
 }
@@ -24,7 +24,7 @@
     explicit Fixture (const std::vector<std::string>& flagsOfAll = {},
                       const std::vector<std::string>& flagsOfFirst = {})
     {
-        m_cluster.propose (landRegistry, 0, "first");
+        m_cluster.propose (landRegistryDeclarations, 0, "first");
         PairOptions options;
 
         for (const auto* instance : { "n1", "n2", "n3" })
@@ -33,7 +33,7 @@
             m_cluster.addPair (instance, "plans", options);
         }
 
-        m_cluster.waitReady();
+        m_cluster.waitUntilReady();
     }
 
     bool isInForceEverywhere (std::uint64_t version)
@@ -77,8 +77,8 @@
 
     for (int round = 1; round <= 5; ++round)
     {
-        auto first = cluster.plankctlLater (fixture.publication (one, round));
-        auto second = cluster.plankctlLater (fixture.publication (two, round));
+        auto first = cluster.plankctlAsync (fixture.publication (one, round));
+        auto second = cluster.plankctlAsync (fixture.publication (two, round));
         CHECK (first.get() + second.get() == exitAccepted + exitConflict);
         CHECK (fixture.isInForceEverywhere (static_cast<std::uint64_t> (round) + 1));
     }
--- a/tests/promises/LeavingTarget_test.cpp
+++ b/tests/promises/LeavingTarget_test.cpp
@@ -66,7 +66,7 @@
     {
         CAPTURE (std::string (row.m_name));
         Cluster cluster;
-        cluster.propose (landRegistry, 0, "first");
+        cluster.propose (landRegistryDeclarations, 0, "first");
         PairOptions plans;
         plans.m_isListed = row.m_isListedByTarget;
 
@@ -84,7 +84,7 @@
         if (! row.m_isListedByTarget)
             listLeaving (cluster, "p1", "live");
 
-        cluster.waitReady();
+        cluster.waitUntilReady();
 
         // Both targets of plans are in use before.
         REQUIRE (waitFor ([&] {
--- a/tests/promises/NotRun_test.cpp
+++ b/tests/promises/NotRun_test.cpp
@@ -56,7 +56,7 @@
 /** The land registry with few slots, so that much is refused. */
 std::string smallSlots()
 {
-    std::string text = landRegistry;
+    std::string text = landRegistryDeclarations;
 
     for (auto at = text.find ("\"slots\":20"); at != std::string::npos; at = text.find ("\"slots\":20"))
         text.replace (at, 10, "\"slots\":2,\"queue_length\":2");
@@ -80,9 +80,9 @@
         std::this_thread::sleep_for (pace);
 
         if (number % 2 == 0)
-            sent.push_back ({ name, cluster.callLater ("s1", "/search/parcels?" + name) });
+            sent.push_back ({ name, cluster.callAsync ("s1", "/search/parcels?" + name) });
         else
-            sent.push_back ({ name, cluster.callLater (number % 4 == 1 ? "l1" : "l2", "/lodgement/lodge",
+            sent.push_back ({ name, cluster.callAsync (number % 4 == 1 ? "l1" : "l2", "/lodgement/lodge",
                                                        sending (name, 1, 0)) });
     }
 
@@ -100,7 +100,7 @@
         Cluster cluster;
         cluster.propose (smallSlots(), 0, "first");
         addServices (cluster);
-        cluster.waitReady();
+        cluster.waitUntilReady();
 
         auto sent = sendMany (cluster, "before-", 60);
         row.m_fault (cluster);
@@ -138,10 +138,10 @@
     Cluster cluster;
     PairOptions slow;
     slow.m_serviceMs = 600;
-    cluster.propose (landRegistry, 0, "first");
+    cluster.propose (landRegistryDeclarations, 0, "first");
     cluster.addPair ("l1", "lodgement", slow);
-    cluster.waitReady();
-    auto answer = cluster.callLater ("l1", "/lodgement/lodge", sending ("broken", 1, 0));
+    cluster.waitUntilReady();
+    auto answer = cluster.callAsync ("l1", "/lodgement/lodge", sending ("broken", 1, 0));
     REQUIRE (waitFor ([&] { return cluster.runsOf ("broken") == 1; }));
     cluster.signalTarget ("l1", SIGKILL);
     const auto first = answer.get();
--- a/tests/promises/PlannedStop_test.cpp
+++ b/tests/promises/PlannedStop_test.cpp
@@ -48,7 +48,7 @@
 
 std::string manySlots()
 {
-    std::string text = landRegistry;
+    std::string text = landRegistryDeclarations;
     const std::string few = "\"slots\":20";
 
     for (auto at = text.find (few); at != std::string::npos; at = text.find (few, at + 1))
@@ -80,7 +80,7 @@
         cluster.addPair (fmt::format ("l{}", suffix), "lodgement", entry);
     }
 
-    cluster.waitReady();
+    cluster.waitUntilReady();
 
     for (const auto& row : rows)
     {
@@ -90,15 +90,15 @@
 
         for (int number = 0; number < 8; ++number)
         {
-            answers.push_back (cluster.callLater ("s1", "/search/parcels"));
-            answers.push_back (cluster.callLater ("s2", "/search/parcels"));
+            answers.push_back (cluster.callAsync ("s1", "/search/parcels"));
+            answers.push_back (cluster.callAsync ("s2", "/search/parcels"));
             const auto key = fmt::format ("{}-{}", row.m_name, number);
             std::string name;
 
             for (const char character : key)
                 name += std::isalnum (static_cast<unsigned char> (character)) != 0 ? character : '-';
 
-            answers.push_back (cluster.callLater ("l1", "/lodgement/lodge", sending (name, 1, 0)));
+            answers.push_back (cluster.callAsync ("l1", "/lodgement/lodge", sending (name, 1, 0)));
         }
 
         // All are under way when the stop comes: at the leaves, at the end of their chains.
@@ -124,7 +124,7 @@
         cluster.signalTarget (row.m_instance, SIGKILL);
         cluster.startTarget (row.m_instance);
         cluster.startNode (row.m_instance);
-        cluster.waitReady();
+        cluster.waitUntilReady();
     }
 }
 
--- a/tests/promises/WholeAnswers_test.cpp
+++ b/tests/promises/WholeAnswers_test.cpp
@@ -27,7 +27,7 @@
     RawTarget (asio::io_context& context, std::vector<std::string> answers, bool closes)
         : m_acceptor (context, tcp::endpoint (asio::ip::make_address ("127.0.0.1"), 0))
         , m_answers (std::move (answers))
-        , m_closes (closes)
+        , m_closesConnection (closes)
     {
         accept();
     }
@@ -62,7 +62,7 @@
         asio::async_write (*socket, asio::buffer (*text), [this, socket, text] (const auto&, std::size_t) {
             boost::system::error_code ignored;
 
-            if (m_closes)
+            if (m_closesConnection)
                 socket->close (ignored);
             else
                 read (socket);
@@ -72,7 +72,7 @@
     tcp::acceptor m_acceptor;
     std::vector<std::string> m_answers;
     std::size_t m_next = 0;
-    bool m_closes;
+    bool m_closesConnection;
 };
 
 std::string whole (const std::string& body)
@@ -85,7 +85,7 @@
 {
     std::string m_name;
     std::vector<std::string> m_said;
-    bool m_closes;
+    bool m_closesConnection;
     std::vector<std::optional<std::string>> m_bodies; /**< nullopt: broken, nothing is passed on */
 };
 
@@ -129,7 +129,7 @@
     {
         CAPTURE (row.m_name);
         asio::io_context context;
-        RawTarget target (context, row.m_said, row.m_closes);
+        RawTarget target (context, row.m_said, row.m_closesConnection);
         std::map<CallId, TargetClient::Answer> answers;
         TargetClient client (
             context, [&] (CallId call, TargetClient::Answer answer) { answers[call] = std::move (answer); });
@@ -173,7 +173,7 @@
 TEST_CASE ("many callers at once over reused connections each get their own")
 {
     Cluster cluster;
-    cluster.propose (landRegistry, 0, "first");
+    cluster.propose (landRegistryDeclarations, 0, "first");
     PairOptions search;
     search.m_calls = "parcels=plans/deliver";
 
@@ -183,7 +183,7 @@
         cluster.addPair (fmt::format ("s{}", suffix), "search", search);
     }
 
-    cluster.waitReady();
+    cluster.waitUntilReady();
     std::vector<std::future<int>> callers;
 
     for (int caller = 0; caller < 16; ++caller)
--- a/tests/relay/RelayDecisions_test.cpp
+++ b/tests/relay/RelayDecisions_test.cpp
@@ -51,7 +51,7 @@
     site.run (Milliseconds (500));
     CHECK (site.reasonOf (ticket) == Reason::deadlineExceeded);
     REQUIRE (site.runsOf ("a").size() == 1);
-    CHECK (site.runsOf ("a")[0].m_isAbandoned);
+    CHECK (site.runsOf ("a")[0].m_isCancelled);
 }
 
 TEST_CASE ("a request is cancelled within 500 ms of its sender disconnecting, whether it runs or is queued")
@@ -63,7 +63,7 @@
     site.close ("entry", running);
     site.run (Milliseconds (100));
     REQUIRE (site.runsOf ("a").size() == 1);
-    CHECK (site.runsOf ("a")[0].m_isAbandoned);
+    CHECK (site.runsOf ("a")[0].m_isCancelled);
 
     // Queued in the gate: must not run.
     RelayRig full;
--- a/tests/relay/access/KeyGuard_test.cpp
+++ b/tests/relay/access/KeyGuard_test.cpp
@@ -141,7 +141,7 @@
     fleet.load (seconds (1));
 
     for (std::size_t number = 0; number < fleet.names().size(); number += 3)
-        fleet.turnAway (fleet.names()[number]); // all nodes of one zone
+        fleet.rejectCallsOf (fleet.names()[number]); // all nodes of one zone
 
     const auto since = fleet.now();
     fleet.load (seconds (8));
@@ -169,7 +169,7 @@
 
     for (const auto& one : partitioned)
     {
-        fleet.turnAway (one);
+        fleet.rejectCallsOf (one);
 
         for (const auto& other : fleet.names())
             if (std::find (partitioned.begin(), partitioned.end(), other) == partitioned.end())
@@ -202,7 +202,7 @@
     SUBCASE ("partitioned nodes accept keys again within two seconds of the end of the partition")
     {
         fleet.healAll();
-        fleet.letAllIn();
+        fleet.acceptAllCalls();
         fleet.load (seconds (2));
         const auto since = fleet.now();
         fleet.load (seconds (1));
@@ -249,7 +249,7 @@
     fleet.load (seconds (1));
     fleet.write (tableWith (2, { "key-1" }));
     fleet.load (seconds (1));
-    fleet.restoreCopy (0, 1);
+    fleet.restoreBackup (0, 1);
     fleet.load (bound + seconds (1));
 
     for (const auto& name : fleet.names())
@@ -307,8 +307,8 @@
     rig.publish (tableWith (1, { "key-1" }));
     const auto askedAt = rig.now();
     rig.run (seconds (2));
-    rig.tell ("one", PeerMessageReceived {
-                         0, { "two", 1 }, ProofAnswer { askedAt.time_since_epoch(), 1, seconds (1) } });
+    rig.applyEvent ("one", PeerMessageReceived {
+                               0, { "two", 1 }, ProofAnswer { askedAt.time_since_epoch(), 1, seconds (1) } });
     CHECK (rig.reducer ("one").relay().keys().age (rig.now()) == seconds (3));
 
     SUBCASE ("implausible times are ignored")
@@ -316,7 +316,7 @@
         for (const auto& answer : { ProofAnswer { (rig.now() + seconds (9)).time_since_epoch(), 1, {} },
                                     ProofAnswer { rig.now().time_since_epoch(), 1, -seconds (9) },
                                     ProofAnswer { Duration::min(), 1, Duration::max() } })
-            rig.tell ("one", PeerMessageReceived { 0, { "two", 1 }, answer });
+            rig.applyEvent ("one", PeerMessageReceived { 0, { "two", 1 }, answer });
 
         CHECK (rig.reducer ("one").relay().keys().age (rig.now()) == seconds (3));
     }
@@ -328,12 +328,12 @@
     rig.settings().m_revocationBound = bound;
     rig.add ("one", "web");
     rig.publish (tableWith (1, { "key-1" }));
-    rig.tell ("one", RoutesConfirmed { rig.now().time_since_epoch() });
+    rig.applyEvent ("one", RoutesConfirmed { rig.now().time_since_epoch() });
     CHECK (rig.reducer ("one").relay().keys().isProven (rig.now()));
 
     rig.run (seconds (1));
-    rig.tell ("one", RoutesRead { "spoiled" });
-    rig.tell ("one", RoutesConfirmed { rig.now().time_since_epoch() });
+    rig.applyEvent ("one", RoutesRead { "spoiled" });
+    rig.applyEvent ("one", RoutesConfirmed { rig.now().time_since_epoch() });
     CHECK (rig.reducer ("one").relay().keys().age (rig.now()) == seconds (1));
 }
 
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -21,7 +21,7 @@
 /** How often a request may still reach targets after that. */
 constexpr std::size_t maxRunsAfter = 3;
 
-const std::string crashingPath (CrashSite::deadly);
+const std::string crashingPath (CrashSite::crashingPathPrefix);
 
 /** A fleet of fifteen nodes, five of which have targets. */
 struct SmallSite : CrashSite
@@ -39,7 +39,7 @@
 {
     SmallSite site;
     site.runUnderLoad (seconds (2), 200);
-    const auto during = site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (crashingPath); });
+    const auto during = site.runUnderLoad (seconds (20), 200, [&] { site.sendToRandomNode (crashingPath); });
     REQUIRE (site.crashes().size() >= 3);
     const auto known = site.crashes()[2] + propagationLimit;
     const auto runs = site.runsOfPath (crashingPath);
@@ -47,7 +47,7 @@
            static_cast<std::ptrdiff_t> (maxRunsAfter));
 
     // All five targets may have crashed before the third crash was known. After that no other request fails.
-    const auto after = site.runUnderLoad (seconds (5), 200, [&] { site.sendAnywhere (crashingPath); });
+    const auto after = site.runUnderLoad (seconds (5), 200, [&] { site.sendToRandomNode (crashingPath); });
     site.runUnderLoad (seconds (1), 0);
     CHECK (site.servedShare (after) >= 0.99);
     CHECK (site.servedShare (during) >= 0.75);
@@ -59,8 +59,8 @@
 TEST_CASE ("a crash is detected even if the new incarnation serves requests before it announces itself")
 {
     SmallSite site;
-    site.announceLate (seconds (1));
-    site.runUnderLoad (seconds (20), 200, [&] { site.sendAnywhere (crashingPath); });
+    site.setAnnouncementDelay (seconds (1));
+    site.runUnderLoad (seconds (20), 200, [&] { site.sendToRandomNode (crashingPath); });
     const auto known = site.crashes().at (2) + propagationLimit;
     const auto runs = site.runsOfPath (crashingPath);
     CHECK (std::count_if (runs.begin(), runs.end(), [known] (Time at) { return at > known; }) <=
@@ -71,7 +71,7 @@
 TEST_CASE ("a held request is refused as not run, with the time until its trial")
 {
     SmallSite site;
-    site.runUnderLoad (seconds (4), 200, [&] { site.sendAnywhere (crashingPath); });
+    site.runUnderLoad (seconds (4), 200, [&] { site.sendToRandomNode (crashingPath); });
     const auto ticket = site.send ("entry-7", "asks", crashingPath);
     const auto other = site.send ("entry-7", "asks for another", crashingPath + "-not");
     site.runUnderLoad (seconds (1), 0);
@@ -86,7 +86,7 @@
 TEST_CASE ("a restarted node fetches the ledger of the others before it sends a held request")
 {
     SmallSite site;
-    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (crashingPath); });
+    site.runUnderLoad (seconds (8), 200, [&] { site.sendToRandomNode (crashingPath); });
     const auto crashes = site.crashes().size();
 
     for (const auto& name : { "entry-7", "target-2" })
@@ -147,7 +147,7 @@
         const auto before = site.crashUpdates();
 
         while (site.crashes().size() < 3)
-            site.runUnderLoad (Milliseconds (100), 10 * nodes, [&] { site.sendAnywhere (crashingPath); });
+            site.runUnderLoad (Milliseconds (100), 10 * nodes, [&] { site.sendToRandomNode (crashingPath); });
 
         const auto third = site.crashes()[2];
 
@@ -165,7 +165,7 @@
 TEST_CASE ("after its hold a request runs at one target at a time: it crashes again or is cleared everywhere")
 {
     SmallSite site;
-    site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (crashingPath); });
+    site.runUnderLoad (seconds (8), 200, [&] { site.sendToRandomNode (crashingPath); });
     auto crashes = site.crashes().size();
     site.runUnderLoad (CrashLedger::initialHold * 8, 2);
     REQUIRE (site.crashes().size() == crashes);
@@ -173,22 +173,22 @@
     // The request still crashes its target: ten at once, and then ten a second.
     const auto runs = site.runsOfPath (crashingPath).size();
     for (unsigned index = 0; index < 10; ++index)
-        site.sendAnywhere (crashingPath);
+        site.sendToRandomNode (crashingPath);
 
-    site.runUnderLoad (seconds (20), 10, [&] { site.sendAnywhere (crashingPath); });
+    site.runUnderLoad (seconds (20), 10, [&] { site.sendToRandomNode (crashingPath); });
     CHECK (site.crashes().size() == crashes + 1);
     CHECK (site.runsOfPath (crashingPath).size() == runs + 1);
 
     // A fixed version of the targets completes it.
     crashes = site.crashes().size();
-    site.mend();
+    site.disableCrashes();
     site.runUnderLoad (CrashLedger::maxHold, 1);
-    site.sendAnywhere (crashingPath);
+    site.sendToRandomNode (crashingPath);
     site.runUnderLoad (seconds (1), 10);
     std::vector<Ticket> tickets;
 
     for (unsigned index = 0; index < 10; ++index)
-        tickets.push_back (site.sendAnywhere (crashingPath));
+        tickets.push_back (site.sendToRandomNode (crashingPath));
 
     site.runUnderLoad (seconds (1), 10);
     CHECK (site.servedShare (tickets) == 1.0);
@@ -198,13 +198,13 @@
 TEST_CASE ("occasional lost answers hold no request")
 {
     SmallSite site;
-    site.loseAnswers (10);
+    site.loseOneAnswerIn (10);
     const std::string popular = "/read/popular";
     site.runUnderLoad (seconds (30), 100, [&] {
         for (unsigned index = 0; index < 10; ++index)
-            site.sendAnywhere (popular);
+            site.sendToRandomNode (popular);
     });
-    CHECK (site.answeredWith (Reason::crashesTargets) == 0);
+    CHECK (site.countAnswersWith (Reason::crashesTargets) == 0);
 
     for (const auto& name : site.nodes())
         CHECK (site.reducer (name).relay().crashes().ledger().held() == 0);
@@ -224,7 +224,7 @@
     constexpr unsigned perSecond = 600;
     unsigned steps = 0;
     std::size_t requests = 0;
-    site.repeatOnce();
+    site.enableCallerRetry();
 
     while (requests < requestLimit)
         requests +=
@@ -232,10 +232,10 @@
                     seconds (5), perSecond,
                     [&] {
                         for (unsigned index = 0; index < perSecond / 20; ++index, ++requests)
-                            site.sendAnywhere ("/read/popular-" +
-                                               std::to_string (site.random().below (mostPopular) == 0
-                                                                   ? 0
-                                                                   : site.random().below (popular)));
+                            site.sendToRandomNode ("/read/popular-" +
+                                                   std::to_string (site.random().below (mostPopular) == 0
+                                                                       ? 0
+                                                                       : site.random().below (popular)));
 
                         if (++steps % stepsBetweenCrashes == 0)
                             for (unsigned index = 0; index < site.targets().size() / 3; ++index)
@@ -244,7 +244,7 @@
                 .size();
 
     CHECK (site.crashes().size() >= 3);
-    CHECK (site.answeredWith (Reason::crashesTargets) == 0);
+    CHECK (site.countAnswersWith (Reason::crashesTargets) == 0);
     MESSAGE (requests, " requests, ", site.crashes().size(), " crashes");
 }
 
--- a/tests/relay/entry/Retries_test.cpp
+++ b/tests/relay/entry/Retries_test.cpp
@@ -49,7 +49,7 @@
             site.send ("entry", "warm-" + std::to_string (index), "/read/x");
 
         site.run (seconds (1));
-        const auto behaviour = firstThenAnswers (row.m_kind);
+        const auto behaviour = failFirstThenAnswer (row.m_kind);
         site.setTargets (behaviour);
         const auto ticket = site.send ("entry", "a", row.m_path);
         site.run (seconds (1));
--- a/tests/relay/gate/DrainingAndShutdown_test.cpp
+++ b/tests/relay/gate/DrainingAndShutdown_test.cpp
@@ -47,9 +47,9 @@
         CHECK (std::count_if (site.runs().begin(), site.runs().end(), isAtOne) == 0);
 
         // A late announcement from before the target left.
-        site.tell ("one",
-                   TargetAnnounced {
-                       "one-target-1", AnnouncedState::serving, 1, "plans", { "10.1.0.1", 8080 }, 20 });
+        site.applyEvent ("one",
+                         TargetAnnounced {
+                             "one-target-1", AnnouncedState::serving, 1, "plans", { "10.1.0.1", 8080 }, 20 });
         site.send ("entry", "late", "/read/x");
         site.run (Milliseconds (100));
         CHECK (std::count_if (site.runs().begin(), site.runs().end(), isAtOne) == 0);
@@ -62,7 +62,7 @@
     site.kill ("one");
     site.kill ("two");
     site.start ("two");
-    site.tell ("two", RoutesRead { "version 1" });
+    site.applyEvent ("two", RoutesRead { "version 1" });
     const auto before = site.runs().size();
     const auto early = site.send ("entry", "a", "/read/x", seconds (1));
     site.run (Milliseconds (50));
@@ -85,8 +85,9 @@
     site.replaceTarget ("one");
     site.announce ("one");
     site.announce ("two", AnnouncedState::draining);
-    site.tell ("one", TargetAnnounced {
-                          "one-target-1", AnnouncedState::serving, 99, "plans", { "10.1.0.1", 8080 }, 20 });
+    site.applyEvent (
+        "one",
+        TargetAnnounced { "one-target-1", AnnouncedState::serving, 99, "plans", { "10.1.0.1", 8080 }, 20 });
     const auto ticket = site.send ("entry", "a", "/read/x");
     site.run (Milliseconds (100));
     CHECK (site.outcomeOf (ticket) == Outcome::completed);
@@ -104,7 +105,7 @@
         tickets.push_back (site.send ("entry", "a" + std::to_string (index), "/write/x"));
 
     site.run (Milliseconds (50));
-    site.tell ("one", StopRequested {});
+    site.applyEvent ("one", StopRequested {});
     site.run (Milliseconds (1550));
     const auto runsBefore = site.runs().size();
 
@@ -125,7 +126,7 @@
 TEST_CASE ("a stopping entry is not ready, serves requests for a grace period, and exits")
 {
     RelaySite site;
-    site.tell ("entry", StopRequested {});
+    site.applyEvent ("entry", StopRequested {});
     CHECK_FALSE (site.reducer ("entry").relay().isReady());
     const auto soon = site.send ("entry", "a", "/read/x");
     site.setTargets (always (TargetReplyKind::answered, Milliseconds (1500)));
--- a/tests/relay/gate/RestartedTarget_test.cpp
+++ b/tests/relay/gate/RestartedTarget_test.cpp
@@ -59,13 +59,13 @@
     CHECK (site.reducer ("one").relay().gate().target().slots() == 8);
 
     // A late announcement that the earlier incarnation is draining.
-    site.tell ("one", TargetAnnounced { "one-target-1",
-                                        AnnouncedState::draining,
-                                        999,
-                                        "plans",
-                                        { "10.1.0.1", 8080 },
-                                        2,
-                                        site.targetStartedAt ("one") - seconds (1) });
+    site.applyEvent ("one", TargetAnnounced { "one-target-1",
+                                              AnnouncedState::draining,
+                                              999,
+                                              "plans",
+                                              { "10.1.0.1", 8080 },
+                                              2,
+                                              site.targetStartedAt ("one") - seconds (1) });
     const auto ticket = site.send ("entry", "after", "/read/x");
     site.run (Milliseconds (200));
     REQUIRE (site.answers().contains (ticket));
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -382,7 +382,8 @@
     LimitFleet fleet (10);
     addDefaultSenders (fleet);
     const auto& name = fleet.m_names.front();
-    fleet.tell (name, PeerMessageReceived { 1, { fleet.m_names.back(), 1 }, LimitQuestion { 1, "nobody" } });
+    fleet.applyEvent (name,
+                      PeerMessageReceived { 1, { fleet.m_names.back(), 1 }, LimitQuery { 1, "nobody" } });
     fleet.load (seconds (2));
     std::uint64_t admitted = 0;
     std::uint64_t counted = 0;
--- a/tests/relay/routes/RoutesInForce_test.cpp
+++ b/tests/relay/routes/RoutesInForce_test.cpp
@@ -18,9 +18,9 @@
 {
     RelaySite site;
     site.publish (makeTable (7, { makeRoute ("read", "plans") }));
-    site.tell ("entry", RoutesRead { "version 1" });
+    site.applyEvent ("entry", RoutesRead { "version 1" });
     CHECK (site.reducer ("entry").relay().routes().version() == 7);
-    site.tell ("entry", RoutesRead { "not a version" });
+    site.applyEvent ("entry", RoutesRead { "not a version" });
     CHECK (site.reducer ("entry").relay().routes().version() == 7);
     CHECK (site.reducer ("entry").counters().m_invalidConfigurations == 1);
 }
--- a/tests/relay/store/MemberDirectory_test.cpp
+++ b/tests/relay/store/MemberDirectory_test.cpp
@@ -14,7 +14,7 @@
 }
 
 /** @returns a position in the store, by default in its first era */
-StorePlace at (LogOffset offset, StoreEra era = 1)
+StorePosition at (LogOffset offset, StoreEra era = 1)
 {
     return { era, offset };
 }
--- a/tests/relay/store/StoreFollowers_test.cpp
+++ b/tests/relay/store/StoreFollowers_test.cpp
@@ -96,7 +96,7 @@
     StartedFleet fleet (100);
 
     for (const auto& name : fleet.following())
-        fleet.turnAway (name);
+        fleet.rejectCallsOf (name);
 
     fleet.run (seconds (4));
     fleet.write (2);
@@ -206,7 +206,7 @@
     {
         CAPTURE (nodes);
         StartedFleet fleet (nodes);
-        fleet.restoreCopy (nodes, 0); // all of them
+        fleet.restoreBackup (nodes, 0); // all of them
         const auto before = fleet.calls();
         fleet.run (seconds (2));
         const auto calls = fleet.calls() - before;
@@ -229,13 +229,13 @@
     StartedFleet fleet (68);
 
     for (unsigned index = 0; index < 12; ++index)
-        fleet.turnAway (fleet.names()[index]);
+        fleet.rejectCallsOf (fleet.names()[index]);
 
-    fleet.restoreCopy (40, 0);
+    fleet.restoreBackup (40, 0);
     fleet.run (Milliseconds (300));
-    fleet.restoreCopy (10, 0);
+    fleet.restoreBackup (10, 0);
     fleet.run (seconds (2));
-    fleet.letAllIn();
+    fleet.acceptAllCalls();
     fleet.run (seconds (4));
 
     for (const auto& name : fleet.names())
@@ -253,7 +253,7 @@
     fleet.write (2);
     fleet.run (seconds (2));
     REQUIRE (fleet.nodesWith (2) == 68);
-    fleet.restoreCopy (0, 1);
+    fleet.restoreBackup (0, 1);
     fleet.run (seconds (2));
     CHECK (fleet.nodesWith (2) == 68);
     fleet.write (2);
--- a/tests/routing/Router_test.cpp
+++ b/tests/routing/Router_test.cpp
@@ -69,7 +69,7 @@
     // Each failed call doubles the ejection time of its instance.
     for (int number = 0; number < 20; ++number)
     {
-        rig.request ("l3", makeOnce (fmt::format ("away-{}", number), 1, Duration::zero()));
+        rig.request ("l3", makeNonRepeatable (fmt::format ("away-{}", number), 1, Duration::zero()));
         rig.run (Milliseconds (100));
     }
 
@@ -81,7 +81,7 @@
     {
         const auto key = fmt::format ("key-{}", number);
         CAPTURE (key);
-        const auto ticket = rig.request ("l3", makeOnce (key, 1, Duration::zero()));
+        const auto ticket = rig.request ("l3", makeNonRepeatable (key, 1, Duration::zero()));
         rig.run (Milliseconds (50));
         REQUIRE (rig.answer (ticket) != nullptr);
         CHECK (rig.answer (ticket)->m_result.m_outcome == Outcome::completed);
--- a/tests/support/Cluster.cpp
+++ b/tests/support/Cluster.cpp
@@ -41,7 +41,7 @@
 } // namespace
 
 //==============================================================================
-const char* const landRegistry = R"({"services":{
+const char* const landRegistryDeclarations = R"({"services":{
     "search":{"slots":20,"operations":{"parcels":{"class":"normal","repeatable":true,"longest_wait_ms":4000,"retry_budget":3}}},
     "plans":{"slots":20,"operations":{"deliver":{"class":"high","repeatable":true,"longest_wait_ms":4000,"retry_budget":3}}},
     "corrections":{"slots":20,"operations":{
@@ -267,7 +267,7 @@
     return answer.ok() && answer->m_status == 200;
 }
 
-void Cluster::waitReady()
+void Cluster::waitUntilReady()
 {
     waitFor ([this] {
         return std::all_of (m_pairs.begin(), m_pairs.end(),
@@ -288,7 +288,7 @@
     return HttpClient::sendAndWait (endpoint (entry, 7000), request, httpTimeout);
 }
 
-std::future<absl::StatusOr<HttpResponse>> Cluster::callLater (const InstanceName& entry,
+std::future<absl::StatusOr<HttpResponse>> Cluster::callAsync (const InstanceName& entry,
                                                               const std::string& path,
                                                               const HttpHeaders& headers,
                                                               const std::string& body)
@@ -369,7 +369,7 @@
     return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
 }
 
-std::future<int> Cluster::plankctlLater (const std::vector<std::string>& arguments)
+std::future<int> Cluster::plankctlAsync (const std::vector<std::string>& arguments)
 {
     return std::async (std::launch::async, [this, arguments] { return plankctl (arguments); });
 }
--- a/tests/support/Cluster.h
+++ b/tests/support/Cluster.h
@@ -55,14 +55,14 @@
     void controlTarget (const InstanceName& instance, const std::string& json);
 
     /** Waits until all nodes report that they are ready. */
-    void waitReady();
+    void waitUntilReady();
     bool isReady (const InstanceName& instance);
 
     //==============================================================================
     absl::StatusOr<HttpResponse> call (const InstanceName& entry, const std::string& path,
                                        const HttpHeaders& headers = {}, const std::string& body = "body");
 
-    std::future<absl::StatusOr<HttpResponse>> callLater (const InstanceName& entry, const std::string& path,
+    std::future<absl::StatusOr<HttpResponse>> callAsync (const InstanceName& entry, const std::string& path,
                                                          const HttpHeaders& headers = {},
                                                          const std::string& body = "body");
 
@@ -81,7 +81,7 @@
         @returns its exit code
     */
     int plankctl (const std::vector<std::string>& arguments);
-    std::future<int> plankctlLater (const std::vector<std::string>& arguments);
+    std::future<int> plankctlAsync (const std::vector<std::string>& arguments);
 
     std::vector<InstanceName> instances() const;
     Endpoint platform() const;
@@ -133,6 +133,6 @@
 std::string reasonOf (const absl::StatusOr<HttpResponse>& response);
 
 /** Declarations of the services search, plans, corrections and lodgement. */
-extern const char* const landRegistry;
+extern const char* const landRegistryDeclarations;
 
 } // namespace plankledge::test
--- a/tests/support/CrashSite.cpp
+++ b/tests/support/CrashSite.cpp
@@ -53,7 +53,7 @@
 
     target.m_running.insert (dispatch.m_call);
 
-    if (m_isCrashingEnabled && dispatch.m_content.m_path.starts_with (deadly))
+    if (m_isCrashingEnabled && dispatch.m_content.m_path.starts_with (crashingPathPrefix))
         m_crashesDue.emplace (now() + timeToCrash, instance);
     else
         m_completionsDue.emplace (now() + work, std::pair { instance, dispatch.m_call });
@@ -85,7 +85,7 @@
     announce (instance);
 }
 
-Ticket CrashSite::sendAnywhere (const std::string& path)
+Ticket CrashSite::sendToRandomNode (const std::string& path)
 {
     const auto ticket =
         send (m_nodes[m_random.below (m_nodes.size())], "request-" + std::to_string (++m_sent), path);
@@ -166,7 +166,7 @@
     for (unsigned steps = 0; now() < end; ++steps)
     {
         for (credit += perSecond; credit >= stepsPerSecond; credit -= stepsPerSecond)
-            sent.push_back (sendAnywhere ("/read/usual-" + std::to_string (m_sent)));
+            sent.push_back (sendToRandomNode ("/read/usual-" + std::to_string (m_sent)));
 
         if (onEachTenth && steps % stepsPerTenth == 0)
             onEachTenth();
@@ -197,7 +197,7 @@
     return result;
 }
 
-std::size_t CrashSite::answeredWith (Reason reason) const
+std::size_t CrashSite::countAnswersWith (Reason reason) const
 {
     return static_cast<std::size_t> (
         std::count_if (answers().begin(), answers().end(),
--- a/tests/support/CrashSite.h
+++ b/tests/support/CrashSite.h
@@ -18,7 +18,7 @@
 public:
     //==============================================================================
     /** Requests with this path prefix crash each target that runs them. */
-    static constexpr std::string_view deadly = "/read/deadly";
+    static constexpr std::string_view crashingPathPrefix = "/read/deadly";
 
     static constexpr Duration work = Milliseconds (90);        /**< service time of other requests */
     static constexpr Duration timeToCrash = Milliseconds (80); /**< from a dispatch to the crash */
@@ -33,22 +33,22 @@
     void crash (const InstanceName& instance);
 
     /** Makes targets break the connection of a random one in oneOf requests, without crashing. */
-    void loseAnswers (unsigned oneOf) { m_lossOneIn = oneOf; }
+    void loseOneAnswerIn (unsigned oneOf) { m_lossOneIn = oneOf; }
 
     /** Delays the first announcement of targets that start. */
-    void announceLate (Duration delay) { m_announcementDelay = delay; }
+    void setAnnouncementDelay (Duration delay) { m_announcementDelay = delay; }
 
     /** Makes requests with the crashing path run like others. */
-    void mend() { m_isCrashingEnabled = false; }
+    void disableCrashes() { m_isCrashingEnabled = false; }
 
     /** Makes callers retry each failed request once, at a random node. */
-    void repeatOnce() { m_areCallersRetrying = true; }
+    void enableCallerRetry() { m_areCallersRetrying = true; }
 
     /** Restarts a node's process, then sends it the member list, the routes and its target's announcement. */
     void restart (const InstanceName& instance);
 
     /** Sends a request with the given path to a random node. */
-    Ticket sendAnywhere (const std::string& path);
+    Ticket sendToRandomNode (const std::string& path);
 
     /** Sends requests with distinct paths to random nodes at a constant rate.
 
@@ -65,7 +65,7 @@
     std::vector<Time> runsOfPath (std::string_view path) const;
 
     /** @returns the number of answers with this reason */
-    std::size_t answeredWith (Reason reason) const;
+    std::size_t countAnswersWith (Reason reason) const;
 
     const std::vector<InstanceName>& targets() const noexcept { return m_targets; }
     const std::vector<InstanceName>& nodes() const noexcept { return m_nodes; }
--- a/tests/support/RelayRig.cpp
+++ b/tests/support/RelayRig.cpp
@@ -162,7 +162,7 @@
     return name;
 }
 
-void RelayRig::tell (const InstanceName& instance, EventBody event)
+void RelayRig::applyEvent (const InstanceName& instance, EventBody event)
 {
     apply (instance, std::move (event));
 }
@@ -317,7 +317,7 @@
 {
     for (auto& run : m_runs)
         if (run.m_instance == from && run.m_dispatch.m_call == effect.m_call)
-            run.m_isAbandoned = true;
+            run.m_isCancelled = true;
 }
 
 void RelayRig::carryOut (const InstanceName& from, const Exit&)
--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -36,7 +36,7 @@
         InstanceName m_instance;
         RelayToTarget m_dispatch;
         Time m_at;
-        bool m_isAbandoned = false;
+        bool m_isCancelled = false;
     };
 
     /** Handles a request at a target. Calls reply(), or doesn't if the target never answers. */
@@ -107,7 +107,7 @@
     void publish (const RouteTable& routes);
 
     /** Applies an event to a node at once. */
-    void tell (const InstanceName& instance, EventBody event);
+    void applyEvent (const InstanceName& instance, EventBody event);
 
     /** Sends the member list and the routes in force to a node. */
     void sendMembersAndRoutes (const InstanceName& instance);
--- a/tests/support/RelaySite.cpp
+++ b/tests/support/RelaySite.cpp
@@ -29,7 +29,7 @@
 
 void never (RelayRig&, const InstanceName&, const RelayToTarget&) {}
 
-RelayRig::TargetBehaviour firstThenAnswers (TargetReplyKind kind)
+RelayRig::TargetBehaviour failFirstThenAnswer (TargetReplyKind kind)
 {
     return [kind, isFirst = std::make_shared<bool> (true)] (RelayRig& rig, const InstanceName& instance,
                                                             const RelayToTarget& dispatch) {
--- a/tests/support/RelaySite.h
+++ b/tests/support/RelaySite.h
@@ -23,6 +23,6 @@
 void never (RelayRig&, const InstanceName&, const RelayToTarget&);
 
 /** @returns a target that replies to the first request with the given kind, and answers all others */
-RelayRig::TargetBehaviour firstThenAnswers (TargetReplyKind kind);
+RelayRig::TargetBehaviour failFirstThenAnswer (TargetReplyKind kind);
 
 } // namespace plankledge::test
--- a/tests/support/Rig.cpp
+++ b/tests/support/Rig.cpp
@@ -260,11 +260,11 @@
     });
 }
 
-void Rig::carryOut (Host& host, const SendRumour& effect)
+void Rig::carryOut (Host& host, const SendGossip& effect)
 {
     const auto& self = host.m_settings.m_self.m_id;
-    const auto rumour = decodeRumour (encodeRumour (effect.m_rumour));
-    assert (rumour.ok());
+    const auto gossip = decodeGossipMessage (encodeGossipMessage (effect.m_gossipMessage));
+    assert (gossip.ok());
 
     if (m_losesDatagram())
         return;
@@ -272,7 +272,7 @@
     for (const auto& [instance, other] : m_hosts)
         if (other.m_settings.m_self.m_endpoint == effect.m_endpoint && other.m_isAlive &&
             ! isCut (self.m_instance, instance))
-            post (instance, m_delay(), RumourReceived { *rumour });
+            post (instance, m_delay(), GossipReceived { *gossip });
 }
 
 void Rig::carryOut (Host& host, const DispatchToTarget& effect)
@@ -368,7 +368,7 @@
 }
 
 //==============================================================================
-RequestReceived makeOnce (const std::string& key, std::uint32_t attempt, Duration age)
+RequestReceived makeNonRepeatable (const std::string& key, std::uint32_t attempt, Duration age)
 {
     RequestReceived request;
     request.m_content = { "lodgement", "lodge", "POST", "/lodgement/lodge", "text/plain", "dealing" };
--- a/tests/support/Rig.h
+++ b/tests/support/Rig.h
@@ -155,7 +155,7 @@
     void carryOut (Host& host, const AnswerRequest& effect);
     void carryOut (Host& host, const SendToPeer& effect);
     void carryOut (Host& host, const ReplyOnLink& effect);
-    void carryOut (Host& host, const SendRumour& effect);
+    void carryOut (Host& host, const SendGossip& effect);
     void carryOut (Host& host, const DispatchToTarget& effect);
     void carryOut (Host&, const CancelTargetCall&) {}
     void carryOut (Host& host, const FetchList& effect);
@@ -190,7 +190,7 @@
     @param attempt   1 for the first attempt; 0 if not given
     @param age       time since the first attempt; negative if not given
 */
-RequestReceived makeOnce (const std::string& key, std::uint32_t attempt, Duration age);
+RequestReceived makeNonRepeatable (const std::string& key, std::uint32_t attempt, Duration age);
 
 /** @returns a request that is repeatable */
 RequestReceived makeRepeatable (const ServiceName& service, const OperationName& operation);
--- a/tests/support/StoreFleet.cpp
+++ b/tests/support/StoreFleet.cpp
@@ -70,7 +70,7 @@
     m_routes.push_back (registerRoutes (routes));
 }
 
-void StoreFleet::restoreCopy (std::size_t recordsLost, std::size_t versionsLost)
+void StoreFleet::restoreBackup (std::size_t recordsLost, std::size_t versionsLost)
 {
     ++m_era;
     m_records.resize (m_records.size() - std::min (recordsLost, m_records.size()));
@@ -103,14 +103,14 @@
     if (const auto* read = std::get_if<ReadTopic> (&effect))
     {
         auto& reader = m_readers[{ instance, read->m_topic }];
-        reader.m_reading = read->m_reading;
-        reader.m_next =
-            read->m_reading == TopicReading::once ? StorePlace() : std::max (reader.m_next, read->m_from);
+        reader.m_readMode = read->m_readMode;
+        reader.m_next = read->m_readMode == TopicReadMode::once ? StorePosition()
+                                                                : std::max (reader.m_next, read->m_from);
 
-        if (std::exchange (reader.m_longestWait, read->m_longestWait) != read->m_longestWait)
+        if (std::exchange (reader.m_maxWait, read->m_maxWait) != read->m_maxWait)
         {
             reader.m_isWaiting = false;
-            reader.m_isNextReadImmediate = read->m_longestWait > Duration::zero();
+            reader.m_isNextReadImmediate = read->m_maxWait > Duration::zero();
         }
     }
     else if (const auto* publish = std::get_if<PublishMember> (&effect))
@@ -134,7 +134,7 @@
     return ! m_isDown && ! m_rejectedNodes.contains (instance);
 }
 
-StorePlace StoreFleet::endOf (StoreTopic topic) const
+StorePosition StoreFleet::endOf (StoreTopic topic) const
 {
     return { m_era,
              static_cast<LogOffset> (topic == StoreTopic::members ? m_records.size() : m_routes.size()) };
@@ -150,14 +150,14 @@
 /** A blocking read is never answered if the store becomes unreachable meanwhile; it ends by its timeout. */
 void StoreFleet::readOne (const InstanceName& instance, StoreTopic topic, Reader& reader)
 {
-    if (reader.m_reading == TopicReading::rest || now() < reader.m_notBefore)
+    if (reader.m_readMode == TopicReadMode::rest || now() < reader.m_notBefore)
         return;
 
     if (! reader.m_isWaiting)
         return call (instance, topic, reader);
 
     reader.m_isInterrupted = reader.m_isInterrupted || ! isReachable (instance);
-    const auto wait = reader.m_longestWait > Duration::zero() ? reader.m_longestWait : storeMaxReadWait;
+    const auto wait = reader.m_maxWait > Duration::zero() ? reader.m_maxWait : storeMaxReadWait;
     const auto limit = (reader.m_isNextReadImmediate ? Duration::zero() : wait) + storeResponseTimeout;
 
     if (reader.m_isInterrupted && now() - reader.m_waitingSince >= limit)
@@ -192,13 +192,13 @@
 {
     reader.m_isWaiting = reader.m_isWaiting && isReached;
 
-    if (std::exchange (reader.m_isReached, isReached) == isReached || topic != StoreTopic::routes)
+    if (std::exchange (reader.m_isStoreReachable, isReached) == isReached || topic != StoreTopic::routes)
         return;
 
     if (isReached)
         m_readers[{ instance, StoreTopic::members }].m_isWaiting = false;
 
-    tell (instance, StoreReached { isReached });
+    applyEvent (instance, StoreReachabilityChanged { isReached });
 }
 
 void StoreFleet::answer (const InstanceName& instance, StoreTopic topic, Reader& reader)
@@ -208,18 +208,18 @@
     reader.m_isNextReadImmediate = false;
 
     if (topic == StoreTopic::routes && from.isKnown() && from.m_era != m_era)
-        tell (instance, StoreRestored { m_era });
+        applyEvent (instance, StoreRestored { m_era });
 
     if (from == endOf (topic))
         return confirm (instance, topic, reader); // timed out without new records
 
-    if (reader.m_reading == TopicReading::once)
-        reader.m_reading = TopicReading::rest;
+    if (reader.m_readMode == TopicReadMode::once)
+        reader.m_readMode = TopicReadMode::rest;
 
     if (topic == StoreTopic::routes)
     {
         if (! m_routes.empty())
-            tell (instance, RoutesRead { m_routes.back() });
+            applyEvent (instance, RoutesRead { m_routes.back() });
 
         return confirm (instance, topic, reader);
     }
@@ -245,13 +245,13 @@
             read.m_withdrawn.push_back (name);
     }
 
-    tell (instance, read);
+    applyEvent (instance, read);
 }
 
 void StoreFleet::confirm (const InstanceName& instance, StoreTopic topic, const Reader& reader)
 {
     if (topic == StoreTopic::routes)
-        tell (instance, RoutesConfirmed { reader.m_waitingSince.time_since_epoch() });
+        applyEvent (instance, RoutesConfirmed { reader.m_waitingSince.time_since_epoch() });
 }
 
 //==============================================================================
@@ -267,7 +267,7 @@
     std::vector<InstanceName> result;
 
     for (const auto& [key, reader] : m_readers)
-        if (key.second == StoreTopic::members && reader.m_reading == TopicReading::follow)
+        if (key.second == StoreTopic::members && reader.m_readMode == TopicReadMode::follow)
             result.push_back (key.first);
 
     return result;
--- a/tests/support/StoreFleet.h
+++ b/tests/support/StoreFleet.h
@@ -38,11 +38,11 @@
 
     /** Restores the store from a backup that lacks the newest member records and versions of the routes.
         Offsets are reused in a new era. */
-    void restoreCopy (std::size_t recordsLost, std::size_t versionsLost);
+    void restoreBackup (std::size_t recordsLost, std::size_t versionsLost);
 
     void setDown (bool isDown) { m_isDown = isDown; }
-    void turnAway (const InstanceName& instance) { m_rejectedNodes.insert (instance); }
-    void letAllIn() { m_rejectedNodes.clear(); }
+    void rejectCallsOf (const InstanceName& instance) { m_rejectedNodes.insert (instance); }
+    void acceptAllCalls() { m_rejectedNodes.clear(); }
 
     //==============================================================================
     std::uint64_t calls() const noexcept { return m_calls; }
@@ -63,14 +63,14 @@
     /** State of a node's reads of one topic. */
     struct Reader
     {
-        TopicReading m_reading = TopicReading::rest;
-        StorePlace m_next;   /**< of the next read; unknown if the topic is to be listed */
-        Time m_notBefore;    /**< earliest time of the next call */
-        Time m_waitingSince; /**< start of the blocking read */
+        TopicReadMode m_readMode = TopicReadMode::rest;
+        StorePosition m_next; /**< of the next read; unknown if the topic is to be listed */
+        Time m_notBefore;     /**< earliest time of the next call */
+        Time m_waitingSince;  /**< start of the blocking read */
         bool m_isWaiting = false;
         bool m_isInterrupted = false; /**< whether the store became unreachable during the blocking read */
-        bool m_isReached = true;
-        Duration m_longestWait {};          /**< of a blocking read; 0 means the store's maximum */
+        bool m_isStoreReachable = true;
+        Duration m_maxWait {};              /**< of a blocking read; 0 means the store's maximum */
         bool m_isNextReadImmediate = false; /**< whether the next read does not block */
     };
 
@@ -83,7 +83,7 @@
     void answer (const InstanceName& instance, StoreTopic topic, Reader& reader);
     void confirm (const InstanceName& instance, StoreTopic topic, const Reader& reader);
     bool isReachable (const InstanceName& instance) const;
-    StorePlace endOf (StoreTopic topic) const;
+    StorePosition endOf (StoreTopic topic) const;
 
     std::vector<InstanceName> m_names;
     std::vector<std::pair<InstanceName, std::optional<Member>>> m_records;
--- a/tests/support/StoreStandin.h
+++ b/tests/support/StoreStandin.h
@@ -58,7 +58,7 @@
     }
 
     /** Overrides the era in responses; an empty text restores the actual one. */
-    void spoilEra (std::string text) { m_eraOverride = std::move (text); }
+    void overrideEra (std::string text) { m_eraOverride = std::move (text); }
 
     /** Drops the log of a topic but keeps the newest value of each key; reads of dropped offsets get 410. */
     void compact (const std::string& topic);
