--- a/tests/promises/NotRun_test.cpp
+++ b/tests/promises/NotRun_test.cpp
@@ -14,7 +14,8 @@
 namespace
 {
 
-/** Offers twice the capacity of the slots, so that refusals and faults coincide. */
+/** Interval between requests: offers twice the capacity of the slots, so that refusals and faults coincide.
+ */
 constexpr std::chrono::milliseconds requestInterval { 8 };
 
 /** A fault that is injected while requests are in flight. */
--- a/tests/soak/Ledger.cpp
+++ b/tests/soak/Ledger.cpp
@@ -9,30 +9,30 @@
 namespace
 {
 
-/** The users' bounds, see ProgramSettings of the programs under test. */
-constexpr Duration drainTime = std::chrono::seconds (2);
-constexpr Duration configurationApply = std::chrono::seconds (2);
-constexpr Duration rollbackSlack = Milliseconds (500); // this machine is shared, timers may be late
+// Guaranteed bounds. Those of retries match the flags of the nodes under test.
+constexpr Duration drainBound = std::chrono::seconds (2);
+constexpr Duration configurationBound = std::chrono::seconds (2);
+constexpr Duration rollbackMargin = Milliseconds (500); // tolerates late timers on a loaded machine
 constexpr Duration retryWindow = std::chrono::seconds (10);
 constexpr double retryRatio = 0.2;
 constexpr double retrySlack = 50.0;
 
-/** So long after the last harm the promises with a time bound hold again. */
-constexpr Duration calmAfter = std::chrono::seconds (4);
+/** Time after a fault until guarantees with a time bound apply again. */
+constexpr Duration settlingTime = std::chrono::seconds (4);
 
-/** A request is to be answered so long after its time at the latest. */
-constexpr Duration answerMargin = Milliseconds (700);
+/** Maximum delay of a response beyond the request's timeout. */
+constexpr Duration responseMargin = Milliseconds (700);
 
-/** A less urgent class may be served better by this. */
-constexpr double orderMargin = 0.07;
-constexpr std::size_t fewestOfClass = 200;
+/** Maximum excess of the admitted share of other requests over that of high-priority requests. */
+constexpr double priorityMargin = 0.07;
+constexpr std::size_t minRequestsOfClass = 200;
 
-/** What is to be served once all trouble is over. */
-constexpr double servedAfterwards = 0.95;
+/** Minimum share of requests served after all faults have ended. */
+constexpr double minServedAfterFaults = 0.95;
 
-constexpr std::size_t mostLinesOfKind = 5;
+constexpr std::size_t maxLinesOfKind = 5;
 
-bool promisesNotRun (int status) noexcept
+bool meansNotRun (int status) noexcept
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -42,9 +42,9 @@
     return request.m_status >= 200 && request.m_status < 300;
 }
 
-void add (std::vector<std::string>& lines, std::size_t& count, std::string line)
+void addLine (std::vector<std::string>& lines, std::size_t& count, std::string line)
 {
-    if (++count <= mostLinesOfKind)
+    if (++count <= maxLinesOfKind)
         lines.push_back (std::move (line));
 }
 
@@ -62,57 +62,57 @@
 } // namespace
 
 //==============================================================================
-void Ledger::onEnded (const std::string& id, int status, bool isWhole, Time now)
+void RunHistory::onEnded (const std::string& id, int status, bool isBodyCorrect, Time now)
 {
     auto& request = m_requests.at (id);
     request.m_endedAt = now;
     request.m_status = status;
-    request.m_isWhole = isWhole;
+    request.m_isBodyCorrect = isBodyCorrect;
 }
 
-void Ledger::onArrival (const std::string& id, const std::string& service, const std::string& target,
-                        bool ran, Time now)
+void RunHistory::onArrival (const std::string& id, const std::string& service, const std::string& target,
+                            bool ran, Time now)
 {
     auto& arrivals = m_arrivals[id];
     ++arrivals.m_count;
     arrivals.m_runs += ran ? 1 : 0;
 
     if (arrivals.m_count > 1)
-        m_repeatArrivals[service].push_back (now);
+        m_retryArrivals[service].push_back (now);
 
-    const auto leaving = m_leavingAt.find (target);
+    const auto acknowledged = m_drainAcknowledgedAt.find (target);
 
-    if (leaving != m_leavingAt.end() && now - leaving->second > drainTime)
+    if (acknowledged != m_drainAcknowledgedAt.end() && now - acknowledged->second > drainBound)
         m_lateArrivals.push_back ({ id, target, now });
 }
 
-bool Ledger::isCalm (const InstanceName& node, Time from, Time until, bool countPlanned) const
+bool RunHistory::isFaultFree (const InstanceName& node, Time from, Time until, bool includePlanned) const
 {
-    return std::none_of (m_troubles.begin(), m_troubles.end(), [&] (const Trouble& trouble) {
-        const bool concerns = trouble.m_node.empty() || node.empty() || trouble.m_node == node;
-        const bool counts = countPlanned || ! trouble.m_isPlanned;
-        return concerns && counts && trouble.m_from <= until && trouble.m_until >= from;
+    return std::none_of (m_faultWindows.begin(), m_faultWindows.end(), [&] (const FaultWindow& window) {
+        const bool isAffected = window.m_node.empty() || node.empty() || window.m_node == node;
+        const bool isIncluded = includePlanned || ! window.m_isPlanned;
+        return isAffected && isIncluded && window.m_from <= until && window.m_until >= from;
     });
 }
 
 //==============================================================================
-std::vector<std::string> Ledger::violations() const
+std::vector<std::string> RunHistory::violations() const
 {
     Lines lines;
     checkAtMostOnce (lines);
     checkRefusals (lines);
     checkAnswers (lines);
-    checkLeaving (lines);
+    checkDraining (lines);
     checkPlannedStops (lines);
     checkConfiguration (lines);
     checkTimeouts (lines);
     checkRetries (lines);
-    checkOrder (lines);
+    checkPriorityOrder (lines);
     checkRecovery (lines);
     return lines;
 }
 
-void Ledger::checkAtMostOnce (Lines& lines) const
+void RunHistory::checkAtMostOnce (Lines& lines) const
 {
     std::size_t count = 0;
 
@@ -121,11 +121,13 @@
         const auto found = m_arrivals.find (id);
 
         if (! request.m_isRepeatable && found != m_arrivals.end() && found->second.m_runs > 1)
-            add (lines, count, fmt::format ("at-most-once: {} ran {} times", id, found->second.m_runs));
+            addLine (lines, count,
+                     fmt::format ("at-most-once: non-repeatable request {} ran {} times", id,
+                                  found->second.m_runs));
     }
 }
 
-void Ledger::checkRefusals (Lines& lines) const
+void RunHistory::checkRefusals (Lines& lines) const
 {
     std::size_t count = 0;
 
@@ -133,33 +135,37 @@
     {
         const auto found = m_arrivals.find (id);
 
-        if (promisesNotRun (request.m_status) && found != m_arrivals.end() && found->second.m_runs > 0)
-            add (lines, count,
-                 fmt::format ("true-refusal: {} was answered {} and ran", id, request.m_status));
+        if (meansNotRun (request.m_status) && found != m_arrivals.end() && found->second.m_runs > 0)
+            addLine (lines, count,
+                     fmt::format ("true-refusal: request {} was answered with status {} although it ran", id,
+                                  request.m_status));
     }
 }
 
-void Ledger::checkAnswers (Lines& lines) const
+void RunHistory::checkAnswers (Lines& lines) const
 {
     std::size_t count = 0;
 
     for (const auto& [id, request] : m_requests)
-        if (isServed (request) && ! request.m_isWhole)
-            add (lines, count, fmt::format ("whole-answers: {} got a body that is not its own", id));
+        if (isServed (request) && ! request.m_isBodyCorrect)
+            addLine (lines, count,
+                     fmt::format ("whole-answers: request {} got a body that does not belong to it", id));
 }
 
-void Ledger::checkLeaving (Lines& lines) const
+void RunHistory::checkDraining (Lines& lines) const
 {
     std::size_t count = 0;
 
     for (const auto& late : m_lateArrivals)
-        add (lines, count,
-             fmt::format ("leaving: {} arrived at {} {:.1f} s after it had said that it leaves", late.m_id,
-                          late.m_target, seconds (late.m_at - m_leavingAt.at (late.m_target))));
+        addLine (lines, count,
+                 fmt::format (
+                     "leaving: request {} arrived at target {} {:.1f} s after its draining was acknowledged",
+                     late.m_id, late.m_target,
+                     seconds (late.m_at - m_drainAcknowledgedAt.at (late.m_target))));
 }
 
-/** Planned stops, reloads and configurations cut no request. */
-void Ledger::checkPlannedStops (Lines& lines) const
+/** Checks that shutdowns, reloads and new configurations interrupt no request. */
+void RunHistory::checkPlannedStops (Lines& lines) const
 {
     std::size_t count = 0;
 
@@ -168,24 +174,24 @@
         if (! request.m_endedAt.has_value() || request.m_status != 0 || ! m_arrivals.contains (id))
             continue;
 
-        if (isCalm ({}, request.m_sentAt - calmAfter, *request.m_endedAt, false))
-            add (lines, count,
-                 fmt::format (
-                     "planned-stop: {} at {} reached a target and ended without an answer after {:.2f} s", id,
-                     request.m_node, seconds (*request.m_endedAt - request.m_sentAt)));
+        if (isFaultFree ({}, request.m_sentAt - settlingTime, *request.m_endedAt, false))
+            addLine (lines, count,
+                     fmt::format ("planned-stop: request {} at {} reached a target but ended without a "
+                                  "response after {:.2f} s",
+                                  id, request.m_node, seconds (*request.m_endedAt - request.m_sentAt)));
     }
 }
 
-void Ledger::checkConfiguration (Lines& lines) const
+void RunHistory::checkConfiguration (Lines& lines) const
 {
     std::size_t count = 0;
     std::map<std::pair<InstanceName, unsigned>, std::vector<const SentRequest*>> probes;
 
     for (const auto& [id, request] : m_requests)
         if (request.m_probedVersion > 0 && request.m_status > 0 && request.m_status != 503)
-            probes[{ request.m_node, request.m_life }].push_back (&request);
+            probes[{ request.m_node, request.m_incarnation }].push_back (&request);
 
-    for (const auto& [life, sent] : probes)
+    for (const auto& [incarnation, sent] : probes)
     {
         for (const auto* probe : sent)
         {
@@ -193,96 +199,100 @@
                 continue;
 
             const auto published = m_publishedAt.at (probe->m_probedVersion);
-            const bool isLate = probe->m_sentAt - published > configurationApply;
+            const bool isLate = probe->m_sentAt - published > configurationBound;
 
-            if (isLate && isCalm (life.first, published - calmAfter, *probe->m_endedAt, true))
-                add (lines, count,
-                     fmt::format ("configuration: version {} is not in force at {} after {:.1f} s",
-                                  probe->m_probedVersion, life.first, seconds (probe->m_sentAt - published)));
+            if (isLate && isFaultFree (incarnation.first, published - settlingTime, *probe->m_endedAt, true))
+                addLine (lines, count,
+                         fmt::format (
+                             "configuration: version {} is not in force at {} {:.1f} s after its publication",
+                             probe->m_probedVersion, incarnation.first,
+                             seconds (probe->m_sentAt - published)));
 
             const bool wasInForce = std::any_of (sent.begin(), sent.end(), [&] (const SentRequest* other) {
                 return other->m_status != 404 && other->m_probedVersion >= probe->m_probedVersion &&
-                       *other->m_endedAt + rollbackSlack < probe->m_sentAt;
+                       *other->m_endedAt + rollbackMargin < probe->m_sentAt;
             });
 
             if (wasInForce)
-                add (lines, count,
-                     fmt::format ("configuration: {} went back before version {}", life.first,
-                                  probe->m_probedVersion));
+                addLine (lines, count,
+                         fmt::format ("configuration: {} reverted to a version before {}", incarnation.first,
+                                      probe->m_probedVersion));
         }
     }
 }
 
-void Ledger::checkTimeouts (Lines& lines) const
+void RunHistory::checkTimeouts (Lines& lines) const
 {
     std::size_t count = 0;
 
     for (const auto& [id, request] : m_requests)
     {
-        const auto latest = request.m_sentAt + request.m_timeout + answerMargin;
+        const auto deadline = request.m_sentAt + request.m_timeout + responseMargin;
 
-        if (request.m_endedAt.value_or (Time::max()) > latest &&
-            isCalm (request.m_node, request.m_sentAt - calmAfter, latest, true))
-            add (lines, count, fmt::format ("time-out: {} at {} had no answer in time", id, request.m_node));
+        if (request.m_endedAt.value_or (Time::max()) > deadline &&
+            isFaultFree (request.m_node, request.m_sentAt - settlingTime, deadline, true))
+            addLine (lines, count,
+                     fmt::format ("time-out: request {} at {} got no response in time", id, request.m_node));
     }
 }
 
-void Ledger::checkRetries (Lines& lines) const
+void RunHistory::checkRetries (Lines& lines) const
 {
-    for (const auto& [service, repeats] : m_repeatArrivals)
+    for (const auto& [service, retries] : m_retryArrivals)
     {
-        const auto sent = m_sentTo.find (service);
+        const auto sent = m_callsByService.find (service);
         std::size_t count = 0;
 
-        for (const auto& until : repeats)
+        for (const auto& until : retries)
         {
             const auto from = until - retryWindow;
-            const auto repeated = countWithin (repeats, from, until);
-            const auto current = sent == m_sentTo.end() ? 0 : countWithin (sent->second, from, until);
-            const auto earlier =
-                sent == m_sentTo.end() ? 0 : countWithin (sent->second, from - retryWindow, from);
-            const auto allowed = retryRatio * static_cast<double> (std::max (current, earlier)) + retrySlack;
+            const auto retryCount = countWithin (retries, from, until);
+            const auto current = sent == m_callsByService.end() ? 0 : countWithin (sent->second, from, until);
+            const auto previous =
+                sent == m_callsByService.end() ? 0 : countWithin (sent->second, from - retryWindow, from);
+            const auto allowed = retryRatio * static_cast<double> (std::max (current, previous)) + retrySlack;
 
-            if (static_cast<double> (repeated) > allowed && count++ == 0)
+            if (static_cast<double> (retryCount) > allowed && count++ == 0)
                 lines.push_back (
-                    fmt::format ("retries: {} arrivals beyond the first at {} in {:.0f} s, {:.0f} allowed",
-                                 repeated, service, seconds (retryWindow), allowed));
+                    fmt::format ("retries: {} retries arrived at {} within {:.0f} s, {:.0f} allowed",
+                                 retryCount, service, seconds (retryWindow), allowed));
         }
     }
 }
 
-void Ledger::checkOrder (Lines& lines) const
+void RunHistory::checkPriorityOrder (Lines& lines) const
 {
     std::size_t sent[2] = {};
-    std::size_t served[2] = {};
+    std::size_t admitted[2] = {};
 
     for (const auto& [id, request] : m_requests)
     {
-        // Requests that may not be repeated fail with a lost connection; only refusals are compared.
         if (request.m_probedVersion > 0 || ! request.m_endedAt.has_value())
             continue;
 
-        ++sent[request.m_isUrgent ? 1 : 0];
-        served[request.m_isUrgent ? 1 : 0] += promisesNotRun (request.m_status) ? 0 : 1;
+        // Non-repeatable requests fail more often when connections are lost, so only refusals are compared.
+        ++sent[request.m_isHighPriority ? 1 : 0];
+        admitted[request.m_isHighPriority ? 1 : 0] += meansNotRun (request.m_status) ? 0 : 1;
     }
 
-    if (sent[0] < fewestOfClass || sent[1] < fewestOfClass)
+    if (sent[0] < minRequestsOfClass || sent[1] < minRequestsOfClass)
         return;
 
-    const auto lesser = static_cast<double> (served[0]) / static_cast<double> (sent[0]);
-    const auto urgent = static_cast<double> (served[1]) / static_cast<double> (sent[1]);
+    const auto others = static_cast<double> (admitted[0]) / static_cast<double> (sent[0]);
+    const auto highPriority = static_cast<double> (admitted[1]) / static_cast<double> (sent[1]);
 
-    if (urgent < lesser - orderMargin)
-        lines.push_back (fmt::format (
-            "order: {:.3f} of the urgent requests were let in, {:.3f} of the others", urgent, lesser));
+    if (highPriority < others - priorityMargin)
+        lines.push_back (
+            fmt::format ("order: {:.3f} of the high-priority requests were admitted, {:.3f} of the others",
+                         highPriority, others));
 }
 
-void Ledger::checkRecovery (Lines& lines) const
+void RunHistory::checkRecovery (Lines& lines) const
 {
-    Time lastHarm {};
+    Time lastFaultEnd {};
 
-    for (const auto& trouble : m_troubles)
-        lastHarm = std::max (lastHarm, trouble.m_until);
+    for (const auto& window : m_faultWindows)
+        lastFaultEnd = std::max (lastFaultEnd, window.m_until);
 
     std::size_t sent = 0;
     std::size_t served = 0;
@@ -290,7 +300,7 @@
 
     for (const auto& [id, request] : m_requests)
     {
-        if (request.m_sentAt < lastHarm + calmAfter)
+        if (request.m_sentAt < lastFaultEnd + settlingTime)
             continue;
 
         ++sent;
@@ -301,10 +311,11 @@
             ++unserved[fmt::format ("{}:{}", request.m_node, request.m_status)];
     }
 
-    if (sent < fewestOfClass || static_cast<double> (served) >= servedAfterwards * static_cast<double> (sent))
+    if (sent < minRequestsOfClass ||
+        static_cast<double> (served) >= minServedAfterFaults * static_cast<double> (sent))
         return;
 
-    auto line = fmt::format ("recovery: {} of {} requests were served once all trouble was over; others",
+    auto line = fmt::format ("recovery: {} of {} requests were served after all faults had ended; others",
                              served, sent);
 
     for (const auto& [what, count] : unserved)
@@ -314,22 +325,22 @@
 }
 
 //==============================================================================
-std::string Ledger::summary() const
+std::string RunHistory::summary() const
 {
     std::map<int, std::size_t> byStatus;
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
 
     for (const auto& [id, request] : m_requests)
         ++byStatus[request.m_status];
 
-    for (const auto& [service, times] : m_repeatArrivals)
-        repeats += times.size();
+    for (const auto& [service, times] : m_retryArrivals)
+        retries += times.size();
 
-    std::string text = fmt::format ("{} requests, {} troubles, {} repeated arrivals;", m_requests.size(),
-                                    m_troubles.size(), repeats);
+    std::string text = fmt::format ("{} requests, {} faults, {} retries;", m_requests.size(),
+                                    m_faultWindows.size(), retries);
 
     for (const auto& [status, count] : byStatus)
-        text += fmt::format (" {}: {}", status == 0 ? "no answer" : std::to_string (status), count);
+        text += fmt::format (" {}: {}", status == 0 ? "no response" : std::to_string (status), count);
 
     return text;
 }
--- a/tests/soak/Ledger.h
+++ b/tests/soak/Ledger.h
@@ -13,26 +13,29 @@
 {
 
 //==============================================================================
-/** A request of a client, from its sending to its end. */
+/** A client's request and its result. */
 struct SentRequest
 {
-    InstanceName m_node; /**< that it was sent to */
-    unsigned m_life = 0; /**< of the node's process */
+    InstanceName m_node;        /**< the node that it was sent to */
+    unsigned m_incarnation = 0; /**< incarnation of the node's process */
     bool m_isRepeatable = true;
-    bool m_isUrgent = false;
-    std::uint64_t m_probedVersion = 0; /**< of the routes that have its path; 0: all have it */
+    bool m_isHighPriority = false;
+
+    /** The first configuration version with a route for the path; 0: all versions have one. */
+    std::uint64_t m_probedVersion = 0;
+
     Time m_sentAt;
     Duration m_timeout {};
     std::optional<Time> m_endedAt;
-    int m_status = 0;      /**< 0: ended without an answer */
-    bool m_isWhole = true; /**< a success had the body that belongs to the request */
+    int m_status = 0;            /**< 0: ended without a response */
+    bool m_isBodyCorrect = true; /**< false if the body of a 200 response differs from makeBody() */
 };
 
-/** A time in which something was harmed, planned or not. */
-struct Trouble
+/** The time in which a fault or a planned operation may affect requests. */
+struct FaultWindow
 {
-    std::string m_what;
-    InstanceName m_node; /**< empty: it concerns all */
+    std::string m_kind;
+    InstanceName m_node; /**< empty: all nodes are affected */
     bool m_isPlanned = false;
     Time m_from;
     Time m_until;
@@ -40,32 +43,38 @@
 
 //==============================================================================
 /**
-    What callers, targets and operators saw in a run, and what the promises say of it.
+    Records what clients, targets and operators observe during a run, and checks the guarantees against it.
 
-    Only what was seen from outside the processes is judged.
+    Only uses observations from outside the nodes' processes.
 */
-class Ledger
+class RunHistory
 {
 public:
     //==============================================================================
     void onSent (const std::string& id, const SentRequest& request) { m_requests[id] = request; }
-    void onEnded (const std::string& id, int status, bool isWhole, Time now);
-    void onCallSent (const std::string& service, Time now) { m_sentTo[service].push_back (now); }
+    void onEnded (const std::string& id, int status, bool isBodyCorrect, Time now);
+    void onCallSent (const std::string& service, Time now) { m_callsByService[service].push_back (now); }
 
-    /** A request arrived at a target; `ran`: the target began to work on it. */
+    /** Records the arrival of a request at a target.
+
+        @param ran   whether the target started to run it, rather than refuse it
+    */
     void onArrival (const std::string& id, const std::string& service, const std::string& target, bool ran,
                     Time now);
 
-    /** A node acknowledged that a target leaves. */
-    void onLeavingAcknowledged (const std::string& target, Time now) { m_leavingAt.emplace (target, now); }
+    /** Records that a node acknowledged the announcement that a target is draining. */
+    void onDrainAcknowledged (const std::string& target, Time now)
+    {
+        m_drainAcknowledgedAt.emplace (target, now);
+    }
 
     void onPublished (std::uint64_t version, Time now) { m_publishedAt[version] = now; }
-    void onTrouble (const Trouble& trouble) { m_troubles.push_back (trouble); }
+    void onFault (const FaultWindow& window) { m_faultWindows.push_back (window); }
 
-    /** @returns a line for each broken promise */
+    /** @returns a line for each violation of a guarantee, limited to a few of each kind */
     std::vector<std::string> violations() const;
 
-    /** @returns what happened, in numbers */
+    /** @returns the numbers of requests, faults and retries, and of responses by status */
     std::string summary() const;
 
 private:
@@ -88,25 +97,34 @@
     void checkAtMostOnce (Lines& lines) const;
     void checkRefusals (Lines& lines) const;
     void checkAnswers (Lines& lines) const;
-    void checkLeaving (Lines& lines) const;
+    void checkDraining (Lines& lines) const;
     void checkPlannedStops (Lines& lines) const;
     void checkConfiguration (Lines& lines) const;
     void checkTimeouts (Lines& lines) const;
     void checkRetries (Lines& lines) const;
-    void checkOrder (Lines& lines) const;
+    void checkPriorityOrder (Lines& lines) const;
     void checkRecovery (Lines& lines) const;
 
-    /** @returns whether nothing unplanned touched the node, or anything that concerns all, in a span */
-    bool isCalm (const InstanceName& node, Time from, Time until, bool countPlanned) const;
+    /** @returns whether no fault affected a node in a time span, bounds included
+
+        @param node             empty: faults of any node count
+        @param includePlanned   whether planned operations count as faults
+    */
+    bool isFaultFree (const InstanceName& node, Time from, Time until, bool includePlanned) const;
 
     std::map<std::string, SentRequest> m_requests;
-    std::map<std::string, Arrivals> m_arrivals;                /**< by request */
-    std::map<std::string, std::vector<Time>> m_sentTo;         /**< requests for a service */
-    std::map<std::string, std::vector<Time>> m_repeatArrivals; /**< beyond the first of each request */
-    std::map<std::string, Time> m_leavingAt;
+    std::map<std::string, Arrivals> m_arrivals; /**< by request */
+
+    /** Send times of client requests and nested calls, by service. */
+    std::map<std::string, std::vector<Time>> m_callsByService;
+
+    /** Arrivals after the first of each request, by service. */
+    std::map<std::string, std::vector<Time>> m_retryArrivals;
+
+    std::map<std::string, Time> m_drainAcknowledgedAt;
     std::vector<LateArrival> m_lateArrivals;
     std::map<std::uint64_t, Time> m_publishedAt;
-    std::vector<Trouble> m_troubles;
+    std::vector<FaultWindow> m_faultWindows;
 };
 
 } // namespace plankledge::soak
--- a/tests/soak/LoopbackProxy.cpp
+++ b/tests/soak/LoopbackProxy.cpp
@@ -20,17 +20,17 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::size_t pieceBytes = 16384;
+constexpr std::size_t chunkBytes = 16384;
 
 tcp::endpoint toTcp (const Endpoint& endpoint)
 {
     return { asio::ip::make_address (endpoint.m_ip), endpoint.m_port };
 }
 
-/** Two sockets and what goes between them. */
-struct Pipe
+/** A caller's connection and the one to the callee that belongs to it. */
+struct ProxiedConnection
 {
-    explicit Pipe (asio::io_context& context)
+    explicit ProxiedConnection (asio::io_context& context)
         : m_caller (context)
         , m_callee (context)
     {
@@ -53,7 +53,7 @@
     tcp::socket m_callee;
 };
 
-using PipePointer = std::shared_ptr<Pipe>;
+using ConnectionPointer = std::shared_ptr<ProxiedConnection>;
 
 } // namespace
 
@@ -63,7 +63,7 @@
     Implementation (asio::io_context& context, const Endpoint& listen, const Endpoint& to)
         : m_context (context)
         , m_acceptor (context, toTcp (listen))
-        , m_to (toTcp (to))
+        , m_destination (toTcp (to))
     {
     }
 
@@ -73,8 +73,8 @@
 
         while (m_acceptor.is_open())
         {
-            auto pipe = std::make_shared<Pipe> (m_context);
-            const auto [error] = co_await m_acceptor.async_accept (pipe->m_caller, asTuple);
+            auto connection = std::make_shared<ProxiedConnection> (m_context);
+            const auto [error] = co_await m_acceptor.async_accept (connection->m_caller, asTuple);
 
             if (! m_acceptor.is_open())
                 co_return;
@@ -83,47 +83,47 @@
                 continue;
 
             if (m_fault == LinkFault::reset)
-                pipe->close (true);
+                connection->close (true);
             else
-                asio::co_spawn (m_context, open (pipe), asio::detached);
+                asio::co_spawn (m_context, connectToCallee (connection), asio::detached);
         }
     }
 
-    asio::awaitable<void> open (PipePointer pipe)
+    asio::awaitable<void> connectToCallee (ConnectionPointer connection)
     {
         const auto self = shared_from_this();
-        const auto [error] = co_await pipe->m_callee.async_connect (m_to, asTuple);
+        const auto [error] = co_await connection->m_callee.async_connect (m_destination, asTuple);
 
         if (error)
         {
-            pipe->close (true);
+            connection->close (true);
             co_return;
         }
 
         boost::system::error_code ignored;
-        pipe->m_caller.set_option (tcp::no_delay (true), ignored);
-        pipe->m_callee.set_option (tcp::no_delay (true), ignored);
-        m_pipes.insert (pipe);
-        asio::co_spawn (m_context, pass (pipe, true), asio::detached);
-        asio::co_spawn (m_context, pass (pipe, false), asio::detached);
+        connection->m_caller.set_option (tcp::no_delay (true), ignored);
+        connection->m_callee.set_option (tcp::no_delay (true), ignored);
+        m_connections.insert (connection);
+        asio::co_spawn (m_context, forwardBytes (connection, true), asio::detached);
+        asio::co_spawn (m_context, forwardBytes (connection, false), asio::detached);
     }
 
-    asio::awaitable<void> pass (PipePointer pipe, bool isThere)
+    asio::awaitable<void> forwardBytes (ConnectionPointer connection, bool isFromCaller)
     {
         const auto self = shared_from_this();
-        auto& from = isThere ? pipe->m_caller : pipe->m_callee;
-        auto& to = isThere ? pipe->m_callee : pipe->m_caller;
-        std::vector<char> piece (pieceBytes);
+        auto& from = isFromCaller ? connection->m_caller : connection->m_callee;
+        auto& to = isFromCaller ? connection->m_callee : connection->m_caller;
+        std::vector<char> chunk (chunkBytes);
         asio::steady_timer timer (m_context);
 
         for (;;)
         {
-            const auto [error, size] = co_await from.async_read_some (asio::buffer (piece), asTuple);
+            const auto [error, size] = co_await from.async_read_some (asio::buffer (chunk), asTuple);
 
             if (error)
                 break;
 
-            if (isLost (isThere))
+            if (isDropped (isFromCaller))
                 continue;
 
             if (m_fault == LinkFault::delayed)
@@ -132,37 +132,37 @@
                 co_await timer.async_wait (asTuple);
             }
 
-            const bool isCut = m_fault == LinkFault::cutAnswers && ! isThere;
-            const auto passed = isCut ? size / 2 : size;
+            const bool isTruncated = m_fault == LinkFault::truncateResponses && ! isFromCaller;
+            const auto forwardedSize = isTruncated ? size / 2 : size;
             const auto [writeError, written] =
-                co_await asio::async_write (to, asio::buffer (piece.data(), passed), asTuple);
+                co_await asio::async_write (to, asio::buffer (chunk.data(), forwardedSize), asTuple);
 
-            if (writeError || isCut)
+            if (writeError || isTruncated)
                 break;
         }
 
-        pipe->close (m_fault == LinkFault::reset);
-        m_pipes.erase (pipe);
+        connection->close (m_fault == LinkFault::reset);
+        m_connections.erase (connection);
     }
 
-    bool isLost (bool isThere) const
+    bool isDropped (bool isFromCaller) const
     {
-        return m_fault == LinkFault::silent ||
-               m_fault == (isThere ? LinkFault::cutThere : LinkFault::cutBack);
+        return m_fault == LinkFault::dropAll ||
+               m_fault == (isFromCaller ? LinkFault::dropFromCaller : LinkFault::dropFromCallee);
     }
 
     void resetAll()
     {
-        for (const auto& pipe : std::exchange (m_pipes, {}))
-            pipe->close (true);
+        for (const auto& connection : std::exchange (m_connections, {}))
+            connection->close (true);
     }
 
     asio::io_context& m_context;
     tcp::acceptor m_acceptor;
-    const tcp::endpoint m_to;
+    const tcp::endpoint m_destination;
     LinkFault m_fault = LinkFault::none;
     Duration m_delay {};
-    std::set<PipePointer> m_pipes;
+    std::set<ConnectionPointer> m_connections;
 };
 
 //==============================================================================
@@ -181,13 +181,13 @@
 
 void LoopbackProxy::setFault (LinkFault fault, Duration delay)
 {
-    // What was lost can't be delivered later: connections that lost bytes end with the fault.
+    // A stream with missing bytes can't be resumed, so it ends with the fault.
     const auto before = std::exchange (m_implementation->m_fault, fault);
     m_implementation->m_delay = delay;
-    const bool hasLost =
-        before == LinkFault::silent || before == LinkFault::cutThere || before == LinkFault::cutBack;
+    const bool hasDropped = before == LinkFault::dropAll || before == LinkFault::dropFromCaller ||
+                            before == LinkFault::dropFromCallee;
 
-    if (hasLost || fault == LinkFault::reset)
+    if (hasDropped || fault == LinkFault::reset)
         m_implementation->resetAll();
 }
 
--- a/tests/soak/LoopbackProxy.h
+++ b/tests/soak/LoopbackProxy.h
@@ -11,29 +11,33 @@
 {
 
 //==============================================================================
-/** What a proxy does to the bytes that pass it. */
+/** A fault that a proxy applies to its connections. */
 enum class LinkFault : std::uint8_t
 {
     none,
-    delayed,   /**< each piece is held for a while */
-    reset,     /**< connections end at once, new ones as well */
-    cutThere,  /**< nothing arrives from the side that connects */
-    cutBack,   /**< nothing arrives from the side that was connected to */
-    silent,    /**< nothing arrives either way, and connections stay open */
-    cutAnswers /**< each connection ends in the middle of the next piece that comes back */
+    delayed,          /**< each chunk is forwarded after a delay */
+    reset,            /**< open and new connections are reset */
+    dropFromCaller,   /**< bytes from the caller are discarded */
+    dropFromCallee,   /**< bytes from the callee are discarded */
+    dropAll,          /**< bytes are discarded in both directions; connections stay open */
+    truncateResponses /**< connections are closed after half of the callee's next chunk */
 };
 
 //==============================================================================
 /**
-    A TCP proxy on loopback that harms connections from outside the processes at their
-    ends. Faults hold for connections that are open and for new ones.
+    A TCP proxy on loopback that injects faults into connections between processes.
+    A fault applies to open and to new connections until the next setFault().
 */
 class LoopbackProxy
 {
 public:
     //==============================================================================
-    /** @param listen   where connections are taken
-        @param to       where they lead
+    /** Starts to accept connections.
+
+        Throws boost::system::system_error if the proxy can't listen.
+
+        @param listen   where callers connect to
+        @param to       the callee that connections are forwarded to
     */
     LoopbackProxy (boost::asio::io_context& context, const Endpoint& listen, const Endpoint& to);
     ~LoopbackProxy();
@@ -41,6 +45,12 @@
     LoopbackProxy (const LoopbackProxy&) = delete;
     LoopbackProxy& operator= (const LoopbackProxy&) = delete;
 
+    /** Replaces the current fault.
+
+        Resets all connections if `fault` is LinkFault::reset or the previous fault discarded bytes.
+
+        @param delay   of each chunk, for LinkFault::delayed
+    */
     void setFault (LinkFault fault, Duration delay = {});
 
 private:
--- a/tests/soak/Soak.cpp
+++ b/tests/soak/Soak.cpp
@@ -1,5 +1,6 @@
-/*  A randomized fault soak: the real nodes as processes of their own on loopback, faults from outside them,
-    and the promises checked from what clients, targets and operators see. A seed fixes the schedule. */
+/*  Randomized soak test with fault injection: runs real node processes on loopback, injects faults from
+   outside and checks the guarantees against what clients, targets and operators observe. A seed determines
+   the schedule of faults. */
 
 #include "soak/SoakNode.h"
 #include "support/StoreStandin.h"
@@ -11,12 +12,12 @@
 #include <gflags/gflags.h>
 #include <unistd.h>
 
-DEFINE_uint64 (seed, 1, "fixes the schedule of faults and requests");
-DEFINE_int32 (seconds, 20, "with traffic and faults; a calm end follows");
-DEFINE_int32 (nodes, 9, "instances, dealt among three services and three zones; 200 at most");
-DEFINE_int32 (rate, 250, "requests a second of all clients together");
-DEFINE_string (program, "build/plankledge-sidecar", "the node");
-DEFINE_string (logs, "", "folder for the nodes' logs, kept; empty: one that is removed");
+DEFINE_uint64 (seed, 1, "seed of the schedules of faults and requests");
+DEFINE_int32 (seconds, 20, "duration of the fault phase in seconds; a phase without faults follows");
+DEFINE_int32 (nodes, 9, "number of instances, distributed over three services and three zones; at most 200");
+DEFINE_int32 (rate, 250, "total requests per second of all clients");
+DEFINE_string (program, "build/plankledge-sidecar", "path of the node program");
+DEFINE_string (logs, "", "folder for the nodes' logs; empty: a temporary folder that is removed at exit");
 
 namespace plankledge::soak
 {
@@ -24,19 +25,19 @@
 namespace
 {
 
-constexpr Duration calmStart = std::chrono::seconds (3);
-constexpr Duration calmEnd = std::chrono::seconds (9);
-constexpr Duration tick = Milliseconds (10);
+constexpr Duration warmUpTime = std::chrono::seconds (3);
+constexpr Duration coolDownTime = std::chrono::seconds (9);
+constexpr Duration stepInterval = Milliseconds (10);
 constexpr Duration requestTimeout = Milliseconds (1500);
 constexpr const char* operatorTopic = "keyed.op";
 constexpr std::uint64_t firstVersion = 1;
 
-/** Services from the entry down; each request of one calls the next. */
+/** Services in call order: requests to one make nested calls to the next. */
 constexpr const char* services[] = { "front", "middle", "deep" };
 constexpr std::size_t serviceCount = std::size (services);
 
-/** Faults that a schedule draws from. */
-enum class Kind : std::uint8_t
+/** Faults and planned operations that a schedule consists of. */
+enum class FaultKind : std::uint8_t
 {
     kill,
     freeze,
@@ -49,26 +50,26 @@
     compact,
     slowTarget,
     failingTarget,
-    leavingTarget,
+    drainTarget,
     configuration,
     configurationStorm,
     burst,
     kindCount
 };
 
-constexpr const char* kindNames[] = { "kill",           "freeze",
-                                      "stop",           "reload",
-                                      "peer-link",      "target-link",
-                                      "store-link",     "store",
-                                      "compact",        "slow-target",
-                                      "failing-target", "leaving-target",
-                                      "configuration",  "configuration-storm",
-                                      "burst" };
+constexpr const char* faultNames[] = { "kill",           "freeze",
+                                       "stop",           "reload",
+                                       "peer-link",      "target-link",
+                                       "store-link",     "store",
+                                       "compact",        "slow-target",
+                                       "failing-target", "leaving-target",
+                                       "configuration",  "configuration-storm",
+                                       "burst" };
 
-bool isPlanned (Kind kind) noexcept
+bool isPlanned (FaultKind kind) noexcept
 {
-    return kind == Kind::stop || kind == Kind::reload || kind == Kind::leavingTarget ||
-           kind == Kind::configuration || kind == Kind::configurationStorm;
+    return kind == FaultKind::stop || kind == FaultKind::reload || kind == FaultKind::drainTarget ||
+           kind == FaultKind::configuration || kind == FaultKind::configurationStorm;
 }
 
 boost::json::object makeRule (const std::string& name, const std::string& service, bool isRepeatable,
@@ -82,7 +83,7 @@
              { "action", { { "service", service }, { "timeoutS", 1.5 }, { "maxAttempts", 3 } } } };
 }
 
-/** @returns the operators' text of a version: each adds a route to the ones before */
+/** @returns the configuration of a version, which has one more route than the version before */
 std::string makeConfiguration (std::uint64_t version)
 {
     boost::json::array rules;
@@ -106,18 +107,18 @@
 } // namespace
 
 //==============================================================================
-/** One run: a site, its traffic and a schedule of faults. */
-class Soak
+/** A run of the soak test: the nodes, their traffic and the schedule of faults. */
+class SoakTest
 {
 public:
-    Soak()
-        : m_faultDraws (FLAGS_seed)
-        , m_trafficDraws (~FLAGS_seed)
+    SoakTest()
+        : m_faultRandom (FLAGS_seed)
+        , m_trafficRandom (~FLAGS_seed)
         , m_timer (m_context)
         , m_store (m_context)
     {
         const auto process = static_cast<unsigned> (::getpid());
-        m_net = fmt::format ("127.{}.{}", 100 + process % 100, process / 100 % 250);
+        m_subnet = fmt::format ("127.{}.{}", 100 + process % 100, process / 100 % 250);
         m_folder = FLAGS_logs.empty() ? fmt::format ("{}/plankledge-soak-{}",
                                                      std::filesystem::temp_directory_path().string(), process)
                                       : FLAGS_logs;
@@ -128,7 +129,7 @@
             addNode (static_cast<unsigned> (number));
     }
 
-    ~Soak()
+    ~SoakTest()
     {
         m_nodes.clear();
 
@@ -136,10 +137,10 @@
             std::filesystem::remove_all (m_folder);
     }
 
-    /** @returns whether every promise held */
+    /** @returns whether no guarantee was violated */
     bool run()
     {
-        m_start = BootClock::now() + calmStart;
+        m_start = BootClock::now() + warmUpTime;
         m_end = m_start + Duration (std::chrono::seconds (FLAGS_seconds));
         m_nextFault = m_start + Duration (std::chrono::seconds (1));
         m_nextRequest = m_start;
@@ -157,14 +158,14 @@
         const auto depth = number % serviceCount;
         SoakNode::Options options;
         options.m_program = FLAGS_program;
-        options.m_ip = fmt::format ("{}.{}", m_net, number + 2);
+        options.m_ip = fmt::format ("{}.{}", m_subnet, number + 2);
         options.m_zone = fmt::format ("zone-{}", number / serviceCount % 3);
         options.m_store = m_store.endpoint();
         options.m_seed = FLAGS_seed * 1000 + number;
         options.m_target.m_instance = fmt::format ("{}-{}", services[depth], number);
         options.m_target.m_service = services[depth];
         options.m_target.m_slots = 8;
-        options.m_target.m_work = Milliseconds (10);
+        options.m_target.m_workDuration = Milliseconds (10);
         options.m_logFile = fmt::format ("{}/{}.log", m_folder, options.m_target.m_instance);
 
         if (depth + 1 < serviceCount)
@@ -173,14 +174,14 @@
             options.m_target.m_calls = 1 + depth;
         }
 
-        m_nodes.push_back (std::make_unique<SoakNode> (m_context, m_ledger, options));
+        m_nodes.push_back (std::make_unique<SoakNode> (m_context, m_runHistory, options));
     }
 
     void publish()
     {
         ++m_version;
         m_store.put (operatorTopic, "config", makeConfiguration (m_version));
-        m_ledger.onPublished (m_version, BootClock::now());
+        m_runHistory.onPublished (m_version, BootClock::now());
     }
 
     //==============================================================================
@@ -190,26 +191,26 @@
 
         for (auto& node : m_nodes)
         {
-            node->look (now);
-            node->dropOverdue (now);
+            node->checkProcess (now);
+            node->abandonOverdue (now);
         }
 
-        carryOutDue (now);
+        runDueActions (now);
 
-        while (m_nextRequest <= now && now < m_end + calmEnd)
-            sendNext();
+        while (m_nextRequest <= now && now < m_end + coolDownTime)
+            sendNextRequest();
 
         while (m_nextFault <= now && now < m_end)
-            beginFault();
+            startFault();
 
-        if (now >= m_end + calmEnd + requestTimeout * 2)
+        if (now >= m_end + coolDownTime + requestTimeout * 2)
             return m_context.stop();
 
-        m_timer.expires_after (tick);
+        m_timer.expires_after (stepInterval);
         m_timer.async_wait ([this] (const boost::system::error_code&) { step(); });
     }
 
-    void carryOutDue (Time now)
+    void runDueActions (Time now)
     {
         while (! m_actions.empty() && m_actions.begin()->first <= now)
         {
@@ -219,15 +220,16 @@
         }
     }
 
-    void sendNext()
+    void sendNextRequest()
     {
         const auto gap = 1000000 / static_cast<std::uint64_t> (FLAGS_rate);
-        m_nextRequest += Duration (static_cast<Duration::rep> (m_trafficDraws.below (gap * 2) + 1)) / m_burst;
-        auto& node = *m_nodes[m_trafficDraws.below (m_nodes.size())];
-        const auto draw = m_trafficDraws.below (100);
+        m_nextRequest +=
+            Duration (static_cast<Duration::rep> (m_trafficRandom.below (gap * 2) + 1)) / m_rateFactor;
+        auto& node = *m_nodes[m_trafficRandom.below (m_nodes.size())];
+        const auto draw = m_trafficRandom.below (100);
         SentRequest request;
         request.m_node = node.name();
-        request.m_life = node.life();
+        request.m_incarnation = node.incarnation();
         request.m_sentAt = BootClock::now();
         request.m_timeout = requestTimeout;
         std::string path = "front-read";
@@ -237,102 +239,104 @@
         {
             path = "front-write";
             request.m_isRepeatable = false;
-            request.m_isUrgent = true;
+            request.m_isHighPriority = true;
         }
         else if (draw < 40)
         {
-            const auto age = m_trafficDraws.below (std::min<std::uint64_t> (m_version, 4));
+            const auto age = m_trafficRandom.below (std::min<std::uint64_t> (m_version, 4));
             request.m_probedVersion = m_version - age;
             path = fmt::format ("added-{}", request.m_probedVersion);
             service = services[serviceCount - 1];
         }
 
-        m_ledger.onCallSent (service, request.m_sentAt);
+        m_runHistory.onCallSent (service, request.m_sentAt);
         node.sendRequest (fmt::format ("r{}-{}", FLAGS_seed, ++m_sent), fmt::format ("/{}/x", path), request);
     }
 
     //==============================================================================
-    void beginFault()
+    void startFault()
     {
-        m_nextFault += Milliseconds (static_cast<std::int64_t> (300 + m_faultDraws.below (2500)));
+        m_nextFault += Milliseconds (static_cast<std::int64_t> (300 + m_faultRandom.below (2500)));
         const auto kind =
-            static_cast<Kind> (m_faultDraws.below (static_cast<std::uint64_t> (Kind::kindCount)));
-        auto& node = *m_nodes[m_faultDraws.below (m_nodes.size())];
-        const Duration lasts = Milliseconds (static_cast<std::int64_t> (300 + m_faultDraws.below (3500)));
+            static_cast<FaultKind> (m_faultRandom.below (static_cast<std::uint64_t> (FaultKind::kindCount)));
+        auto& node = *m_nodes[m_faultRandom.below (m_nodes.size())];
+        const Duration duration = Milliseconds (static_cast<std::int64_t> (300 + m_faultRandom.below (3500)));
         const auto now = BootClock::now();
-        const bool concernsAll = kind == Kind::store || kind == Kind::compact || kind == Kind::burst ||
-                                 kind == Kind::configurationStorm || kind == Kind::configuration;
-        const auto settles = kind == Kind::stop || kind == Kind::kill || kind == Kind::leavingTarget
-                                 ? Duration (std::chrono::seconds (5))
-                                 : Duration::zero();
-        m_ledger.onTrouble ({ kindNames[static_cast<std::size_t> (kind)],
-                              concernsAll ? InstanceName() : node.name(), isPlanned (kind), now,
-                              now + lasts + settles });
+        const bool affectsAllNodes = kind == FaultKind::store || kind == FaultKind::compact ||
+                                     kind == FaultKind::burst || kind == FaultKind::configurationStorm ||
+                                     kind == FaultKind::configuration;
+        const auto settling =
+            kind == FaultKind::stop || kind == FaultKind::kill || kind == FaultKind::drainTarget
+                ? Duration (std::chrono::seconds (5))
+                : Duration::zero();
+        m_runHistory.onFault ({ faultNames[static_cast<std::size_t> (kind)],
+                                affectsAllNodes ? InstanceName() : node.name(), isPlanned (kind), now,
+                                now + duration + settling });
         fmt::print ("{:6.2f} s  {:4} ms  {} {}\n", static_cast<double> ((now - m_start).count()) / 1e6,
-                    toMilliseconds (lasts), kindNames[static_cast<std::size_t> (kind)],
-                    concernsAll ? InstanceName() : node.name());
-        inject (kind, node, lasts);
+                    toMilliseconds (duration), faultNames[static_cast<std::size_t> (kind)],
+                    affectsAllNodes ? InstanceName() : node.name());
+        inject (kind, node, duration);
     }
 
-    void inject (Kind kind, SoakNode& node, Duration lasts)
+    void inject (FaultKind kind, SoakNode& node, Duration duration)
     {
         switch (kind)
         {
-        case Kind::kill:
-            return node.kill (lasts);
-        case Kind::freeze:
+        case FaultKind::kill:
+            return node.kill (duration);
+        case FaultKind::freeze:
             node.signal (SIGSTOP);
-            return later (lasts, [&node] { node.signal (SIGCONT); });
-        case Kind::stop:
+            return schedule (duration, [&node] { node.signal (SIGCONT); });
+        case FaultKind::stop:
             return node.signal (SIGTERM);
-        case Kind::reload:
+        case FaultKind::reload:
             return node.signal (SIGHUP);
-        case Kind::peerLink:
-            return harm (node.peerProxy(), lasts);
-        case Kind::targetLink:
-            return harm (node.targetProxy(), lasts);
-        case Kind::storeLink:
-            return harm (node.storeProxy(), lasts);
-        case Kind::store:
-            m_store.setFault (static_cast<test::StoreStandin::Fault> (1 + m_faultDraws.below (4)));
-            return later (lasts, [this] { m_store.setFault (test::StoreStandin::Fault::none); });
-        case Kind::compact:
+        case FaultKind::peerLink:
+            return injectLinkFault (node.peerProxy(), duration);
+        case FaultKind::targetLink:
+            return injectLinkFault (node.targetProxy(), duration);
+        case FaultKind::storeLink:
+            return injectLinkFault (node.storeProxy(), duration);
+        case FaultKind::store:
+            m_store.setFault (static_cast<test::StoreStandin::Fault> (1 + m_faultRandom.below (4)));
+            return schedule (duration, [this] { m_store.setFault (test::StoreStandin::Fault::none); });
+        case FaultKind::compact:
             m_store.compact (operatorTopic);
             return publish();
-        case Kind::slowTarget:
-            return ail (node, SoakTarget::Health::slow, lasts);
-        case Kind::failingTarget:
-            return ail (node, SoakTarget::Health::failing, lasts);
-        case Kind::leavingTarget:
-            return node.target().leave();
-        case Kind::configuration:
+        case FaultKind::slowTarget:
+            return degradeTarget (node, SoakTarget::Health::slow, duration);
+        case FaultKind::failingTarget:
+            return degradeTarget (node, SoakTarget::Health::failing, duration);
+        case FaultKind::drainTarget:
+            return node.target().drain();
+        case FaultKind::configuration:
             return publish();
-        case Kind::configurationStorm:
+        case FaultKind::configurationStorm:
             for (int index = 0; index < 8; ++index)
-                later (Milliseconds (index * 150), [this] { publish(); });
+                schedule (Milliseconds (index * 150), [this] { publish(); });
             return;
-        case Kind::burst:
-            m_burst = 3;
-            return later (lasts, [this] { m_burst = 1; });
-        case Kind::kindCount:
+        case FaultKind::burst:
+            m_rateFactor = 3;
+            return schedule (duration, [this] { m_rateFactor = 1; });
+        case FaultKind::kindCount:
             return;
         }
     }
 
-    void harm (LoopbackProxy& proxy, Duration lasts)
+    void injectLinkFault (LoopbackProxy& proxy, Duration duration)
     {
-        const auto fault = static_cast<LinkFault> (1 + m_faultDraws.below (6));
-        proxy.setFault (fault, Milliseconds (static_cast<std::int64_t> (20 + m_faultDraws.below (200))));
-        later (lasts, [&proxy] { proxy.setFault (LinkFault::none); });
+        const auto fault = static_cast<LinkFault> (1 + m_faultRandom.below (6));
+        proxy.setFault (fault, Milliseconds (static_cast<std::int64_t> (20 + m_faultRandom.below (200))));
+        schedule (duration, [&proxy] { proxy.setFault (LinkFault::none); });
     }
 
-    void ail (SoakNode& node, SoakTarget::Health health, Duration lasts)
+    void degradeTarget (SoakNode& node, SoakTarget::Health health, Duration duration)
     {
         node.target().setHealth (health);
-        later (lasts, [&node] { node.target().setHealth (SoakTarget::Health::well); });
+        schedule (duration, [&node] { node.target().setHealth (SoakTarget::Health::healthy); });
     }
 
-    void later (Duration after, Action action)
+    void schedule (Duration after, Action action)
     {
         m_actions.emplace (BootClock::now() + after, std::move (action));
     }
@@ -340,14 +344,15 @@
     //==============================================================================
     bool report()
     {
-        auto lines = m_ledger.violations();
+        auto lines = m_runHistory.violations();
 
         for (const auto& node : m_nodes)
-            if (node->ownEnds() > 0)
+            if (node->unexpectedExits() > 0)
                 lines.push_back (
-                    fmt::format ("own-end: {} ended by itself {} times", node->name(), node->ownEnds()));
+                    fmt::format ("unexpected-exit: node {} exited {} times without a stop signal",
+                                 node->name(), node->unexpectedExits()));
 
-        fmt::print ("seed {}: {}\n", FLAGS_seed, m_ledger.summary());
+        fmt::print ("seed {}: {}\n", FLAGS_seed, m_runHistory.summary());
 
         for (const auto& line : lines)
             fmt::print ("VIOLATION {}\n", line);
@@ -356,18 +361,18 @@
     }
 
     boost::asio::io_context m_context { 1 };
-    Random m_faultDraws; /**< apart from those of traffic, whose number depends on time */
-    Random m_trafficDraws;
+    Random m_faultRandom; /**< separate from traffic, whose number of draws depends on timing */
+    Random m_trafficRandom;
     boost::asio::steady_timer m_timer;
     test::StoreStandin m_store;
-    Ledger m_ledger;
-    std::string m_net;
+    RunHistory m_runHistory;
+    std::string m_subnet;
     std::string m_folder;
     std::vector<std::unique_ptr<SoakNode>> m_nodes;
     std::multimap<Time, Action> m_actions;
     std::uint64_t m_version = 0;
     std::uint64_t m_sent = 0;
-    int m_burst = 1;
+    int m_rateFactor = 1;
     Time m_start;
     Time m_end;
     Time m_nextFault;
@@ -378,8 +383,8 @@
 
 int main (int argc, char** argv)
 {
-    gflags::SetUsageMessage ("a randomized fault soak over real nodes; see docs/SOAK.md");
+    gflags::SetUsageMessage ("randomized soak test of real nodes with fault injection; see docs/SOAK.md");
     gflags::ParseCommandLineFlags (&argc, &argv, true);
-    plankledge::soak::Soak soak;
+    plankledge::soak::SoakTest soak;
     return soak.run() ? 0 : 1;
 }
--- a/tests/soak/SoakNode.cpp
+++ b/tests/soak/SoakNode.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-constexpr std::uint16_t peerPort = 7000;       /**< the proxy's, which peers are told */
-constexpr std::uint16_t peerListenPort = 7001; /**< the node's own */
+constexpr std::uint16_t peerPort = 7000;       /**< of the proxy; advertised to peers */
+constexpr std::uint16_t peerListenPort = 7001; /**< of the node */
 constexpr std::uint16_t readyPort = 7002;
 constexpr std::uint16_t outboundPort = 7004;
 constexpr std::uint16_t controlPort = 7006;
@@ -23,10 +23,10 @@
 constexpr std::uint16_t targetListenPort = 8000;
 constexpr std::uint16_t targetPort = 8001;
 
-constexpr Duration restartsAfter = Milliseconds (200);
+constexpr Duration restartDelay = Milliseconds (200);
 
-/** Clients leave an unanswered request so long after its time. */
-constexpr Duration patience = std::chrono::seconds (2);
+/** Time after a request's timeout until its client abandons it. */
+constexpr Duration abandonDelay = std::chrono::seconds (2);
 
 std::string toText (const Endpoint& endpoint)
 {
@@ -41,23 +41,25 @@
 } // namespace
 
 //==============================================================================
-SoakNode::SoakNode (boost::asio::io_context& context, Ledger& ledger, const Options& options)
-    : m_ledger (ledger)
+SoakNode::SoakNode (boost::asio::io_context& context, RunHistory& runHistory, const Options& options)
+    : m_runHistory (runHistory)
     , m_options (options)
     , m_clients (
           context, [this] (CallId call, const TargetClient::Answer& answer) { onAnswer (call, answer); },
           isSameRequest)
 {
-    m_peerProxy = std::make_unique<LoopbackProxy> (context, at (peerPort), at (peerListenPort));
-    m_targetProxy = std::make_unique<LoopbackProxy> (context, at (targetPort), at (targetListenPort));
-    m_storeProxy = std::make_unique<LoopbackProxy> (context, at (storePort), m_options.m_store);
+    m_peerProxy =
+        std::make_unique<LoopbackProxy> (context, endpointAt (peerPort), endpointAt (peerListenPort));
+    m_targetProxy =
+        std::make_unique<LoopbackProxy> (context, endpointAt (targetPort), endpointAt (targetListenPort));
+    m_storeProxy = std::make_unique<LoopbackProxy> (context, endpointAt (storePort), m_options.m_store);
     auto& target = m_options.m_target;
     target.m_zone = m_options.m_zone;
-    target.m_listen = at (targetListenPort);
-    target.m_announced = at (targetPort);
-    target.m_outbound = at (outboundPort);
-    target.m_control = at (controlPort);
-    m_target = std::make_unique<SoakTarget> (context, ledger, target, m_options.m_seed);
+    target.m_listen = endpointAt (targetListenPort);
+    target.m_advertised = endpointAt (targetPort);
+    target.m_outbound = endpointAt (outboundPort);
+    target.m_control = endpointAt (controlPort);
+    m_target = std::make_unique<SoakTarget> (context, runHistory, target, m_options.m_seed);
     start();
 }
 
@@ -78,12 +80,12 @@
                                          "--service=" + m_options.m_target.m_service,
                                          "--zone=" + m_options.m_zone,
                                          "--ip=" + m_options.m_ip,
-                                         "--peers=" + toText (at (peerListenPort)),
-                                         "--advertised_peers=" + toText (at (peerPort)),
-                                         "--outbound=" + toText (at (outboundPort)),
-                                         "--ready=" + toText (at (readyPort)),
-                                         "--control=" + toText (at (controlPort)),
-                                         "--store=" + toText (at (storePort)),
+                                         "--peers=" + toText (endpointAt (peerListenPort)),
+                                         "--advertised_peers=" + toText (endpointAt (peerPort)),
+                                         "--outbound=" + toText (endpointAt (outboundPort)),
+                                         "--ready=" + toText (endpointAt (readyPort)),
+                                         "--control=" + toText (endpointAt (controlPort)),
+                                         "--store=" + toText (endpointAt (storePort)),
                                          "--announcement_period_s=0.5",
                                          "--retry_slack=50" };
     std::vector<char*> argv;
@@ -98,38 +100,38 @@
                                       0600);
     posix_spawn_file_actions_adddup2 (&actions, 1, 2);
 
-    // A node that inherits the soak's sockets keeps connections open that the soak has closed.
+    // A node that inherited sockets would keep connections open that were closed here.
     posix_spawn_file_actions_addclosefrom_np (&actions, 3);
 
     if (::posix_spawn (&m_process, m_options.m_program.c_str(), &actions, nullptr, argv.data(), environ) != 0)
-        throw std::runtime_error ("the node can't be started: " + m_options.m_program);
+        throw std::runtime_error ("failed to start node program: " + m_options.m_program);
 
     posix_spawn_file_actions_destroy (&actions);
-    ++m_life;
-    m_isEndExpected = false;
+    ++m_incarnation;
+    m_isExitExpected = false;
 }
 
 void SoakNode::signal (int number)
 {
-    m_isEndExpected = m_isEndExpected || number == SIGTERM || number == SIGKILL;
+    m_isExitExpected = m_isExitExpected || number == SIGTERM || number == SIGKILL;
 
     if (m_process > 0)
         ::kill (m_process, number);
 }
 
-void SoakNode::kill (Duration away)
+void SoakNode::kill (Duration downtime)
 {
     signal (SIGKILL);
-    m_startAt = BootClock::now() + away;
+    m_startAt = BootClock::now() + downtime;
 }
 
-void SoakNode::look (Time now)
+void SoakNode::checkProcess (Time now)
 {
     if (m_process > 0 && ::waitpid (m_process, nullptr, WNOHANG) == m_process)
     {
         m_process = 0;
-        m_ownEnds += m_isEndExpected ? 0 : 1;
-        m_startAt = std::max (m_startAt, now + restartsAfter);
+        m_unexpectedExits += m_isExitExpected ? 0 : 1;
+        m_startAt = std::max (m_startAt, now + restartDelay);
     }
 
     if (m_process == 0 && now >= m_startAt)
@@ -140,20 +142,20 @@
 void SoakNode::sendRequest (const std::string& id, const std::string& path, const SentRequest& request)
 {
     const auto call = m_nextCall++;
-    m_waiting[call] = { id, request.m_sentAt + request.m_timeout + patience };
-    m_ledger.onSent (id, request);
+    m_pendingCalls[call] = { id, request.m_sentAt + request.m_timeout + abandonDelay };
+    m_runHistory.onSent (id, request);
     HttpRequest message;
     message.m_method = request.m_isRepeatable ? "GET" : "POST";
     message.m_target = path;
     message.m_headers = { { "Host", "soak.example" },
                           { "Request-Id", id },
                           { "Deadline-Ms", std::to_string (toMilliseconds (request.m_timeout)) } };
-    m_clients.send (call, at (outboundPort), std::move (message));
+    m_clients.send (call, endpointAt (outboundPort), std::move (message));
 }
 
 void SoakNode::onAnswer (CallId call, const TargetClient::Answer& answer)
 {
-    const auto node = m_waiting.extract (call);
+    const auto node = m_pendingCalls.extract (call);
 
     if (node.empty())
         return;
@@ -161,22 +163,22 @@
     const auto& id = node.mapped().m_id;
     const auto* response = std::get_if<HttpResponse> (&answer);
     const auto status = response != nullptr ? response->m_status : 0;
-    const bool isWhole = status != 200 || response->m_body == bodyOf (id);
-    m_ledger.onEnded (id, status, isWhole, BootClock::now());
+    const bool isBodyCorrect = status != 200 || response->m_body == makeBody (id);
+    m_runHistory.onEnded (id, status, isBodyCorrect, BootClock::now());
 }
 
-void SoakNode::dropOverdue (Time now)
+void SoakNode::abandonOverdue (Time now)
 {
-    for (auto entry = m_waiting.begin(); entry != m_waiting.end();)
+    for (auto entry = m_pendingCalls.begin(); entry != m_pendingCalls.end();)
     {
-        if (entry->second.m_dropAt > now)
+        if (entry->second.m_abandonAt > now)
         {
             ++entry;
             continue;
         }
 
         m_clients.abandon (entry->first);
-        entry = m_waiting.erase (entry);
+        entry = m_pendingCalls.erase (entry);
     }
 }
 
--- a/tests/soak/SoakNode.h
+++ b/tests/soak/SoakNode.h
@@ -13,10 +13,10 @@
 
 //==============================================================================
 /**
-    One instance: the real node as a process of its own, the target beside it, the proxies
-    through which it is reached and reaches the store, and the clients of the instance.
+    One instance: the real node as a separate process, its target, the clients that send requests to
+    it, and the proxies for its connections from peers, to the target and to the store.
 
-    Ends only the process that it started, by its id.
+    Signals only the process that it started.
 */
 class SoakNode
 {
@@ -29,38 +29,44 @@
         std::string m_ip;
         ZoneName m_zone;
         Endpoint m_store;
-        SoakTarget::Options m_target; /**< its addresses are filled in */
+        SoakTarget::Options m_target; /**< the constructor sets its zone and addresses */
         std::uint64_t m_seed = 0;
     };
 
-    SoakNode (boost::asio::io_context& context, Ledger& ledger, const Options& options);
+    SoakNode (boost::asio::io_context& context, RunHistory& runHistory, const Options& options);
     ~SoakNode();
 
     SoakNode (const SoakNode&) = delete;
     SoakNode& operator= (const SoakNode&) = delete;
 
     //==============================================================================
+    /** Starts the node's process; throws std::runtime_error if that fails. */
     void start();
+
     void signal (int number);
 
-    /** Notices the end of the process, and starts it again after a while unless it is to stay away. */
-    void look (Time now);
+    /** Detects the exit of the process, and restarts it once its downtime is over. */
+    void checkProcess (Time now);
 
-    /** Kills the process, which starts again after so long. */
-    void kill (Duration away);
+    /** Kills the process; it is restarted after the given downtime. */
+    void kill (Duration downtime);
 
     bool isRunning() const noexcept { return m_process > 0; }
-    unsigned life() const noexcept { return m_life; }
+    unsigned incarnation() const noexcept { return m_incarnation; }
 
-    /** @returns processes that ended by themselves, without a signal of the soak */
-    unsigned ownEnds() const noexcept { return m_ownEnds; }
+    /** @returns how often a process exited without having been sent SIGTERM or SIGKILL */
+    unsigned unexpectedExits() const noexcept { return m_unexpectedExits; }
 
     //==============================================================================
-    /** Sends a client's request to the node's outbound address. */
+    /** Sends a client's request to the node's outbound address.
+
+        @param id        value of the Request-Id header
+        @param request   recorded in the run history
+    */
     void sendRequest (const std::string& id, const std::string& path, const SentRequest& request);
 
-    /** Gives up what has waited far too long. */
-    void dropOverdue (Time now);
+    /** Abandons requests without a response some time after their timeout. */
+    void abandonOverdue (Time now);
 
     const InstanceName& name() const noexcept { return m_options.m_target.m_instance; }
     SoakTarget& target() noexcept { return *m_target; }
@@ -70,28 +76,28 @@
 
 private:
     //==============================================================================
-    struct Waiting
+    struct PendingCall
     {
         std::string m_id;
-        Time m_dropAt;
+        Time m_abandonAt;
     };
 
-    Endpoint at (std::uint16_t port) const { return { m_options.m_ip, port }; }
+    Endpoint endpointAt (std::uint16_t port) const { return { m_options.m_ip, port }; }
     void onAnswer (CallId call, const TargetClient::Answer& answer);
 
-    Ledger& m_ledger;
+    RunHistory& m_runHistory;
     Options m_options;
     TargetClient m_clients;
     std::unique_ptr<LoopbackProxy> m_peerProxy;
     std::unique_ptr<LoopbackProxy> m_targetProxy;
     std::unique_ptr<LoopbackProxy> m_storeProxy;
     std::unique_ptr<SoakTarget> m_target;
-    std::map<CallId, Waiting> m_waiting;
+    std::map<CallId, PendingCall> m_pendingCalls;
     CallId m_nextCall = 1;
     pid_t m_process = 0;
-    unsigned m_life = 0;
-    unsigned m_ownEnds = 0;
-    bool m_isEndExpected = false;
+    unsigned m_incarnation = 0;
+    unsigned m_unexpectedExits = 0;
+    bool m_isExitExpected = false;
     Time m_startAt;
 };
 
--- a/tests/soak/SoakTarget.cpp
+++ b/tests/soak/SoakTarget.cpp
@@ -11,17 +11,17 @@
 {
 
 constexpr std::chrono::milliseconds announcementPeriod { 500 };
-constexpr Duration announcementLimit = std::chrono::seconds (1);
+constexpr Duration announcementTimeout = std::chrono::seconds (1);
 
-/** A leaving target serves on for longer than nodes have to stop sending to it. */
-constexpr std::chrono::milliseconds servesOn { 3500 };
-constexpr std::chrono::milliseconds betweenLives { 500 };
+/** Longer than the time within which nodes must stop sending to a draining target. */
+constexpr std::chrono::milliseconds drainPeriod { 3500 };
+constexpr std::chrono::milliseconds pauseBeforeRestart { 500 };
 
-constexpr unsigned queuedForEachSlot = 2;
+constexpr unsigned queueLengthPerSlot = 2;
 constexpr std::uint64_t refusedPercent = 30;
-constexpr std::uint64_t failedPercent = 60; /**< refused ones included */
+constexpr std::uint64_t failedPercent = 60; /**< cumulative: includes refusedPercent */
 constexpr int slowFactor = 5;
-constexpr std::uint64_t longestBodyBytes = 4000;
+constexpr std::uint64_t maxPaddingBytes = 4000;
 
 HttpResponse makeAnswer (const std::string& requestId, std::uint16_t status, bool ran)
 {
@@ -33,22 +33,22 @@
     if (! ran)
         response.m_headers.emplace_back ("Not-Executed", "1");
 
-    response.m_body = bodyOf (requestId);
+    response.m_body = makeBody (requestId);
     return response;
 }
 
 } // namespace
 
-std::string bodyOf (const std::string& requestId)
+std::string makeBody (const std::string& requestId)
 {
     auto body = requestId;
-    body.resize (requestId.size() + hashText (requestId) % longestBodyBytes,
+    body.resize (requestId.size() + hashText (requestId) % maxPaddingBytes,
                  static_cast<char> ('a' + hashText (requestId) % 26));
     return body;
 }
 
 //==============================================================================
-/** One request at the target. */
+/** A request that the target runs. */
 struct SoakTarget::Job
 {
     explicit Job (boost::asio::io_context& context)
@@ -59,14 +59,15 @@
     std::string m_id;
     HttpServer::Respond m_respond;
     boost::asio::steady_timer m_timer;
-    unsigned m_callsLeft = 0;
+    unsigned m_remainingCalls = 0;
     CallId m_call = 0;
-    bool m_isOver = false;
+    bool m_isFinished = false;
 };
 
-SoakTarget::SoakTarget (boost::asio::io_context& context, Ledger& ledger, Options options, std::uint64_t seed)
+SoakTarget::SoakTarget (boost::asio::io_context& context, RunHistory& runHistory, Options options,
+                        std::uint64_t seed)
     : m_context (context)
-    , m_ledger (ledger)
+    , m_runHistory (runHistory)
     , m_options (std::move (options))
     , m_random (seed)
     , m_server (context, { [this] (const HttpRequest& request, const HttpServer::Respond& respond) {
@@ -77,12 +78,12 @@
     , m_outbound (context, [this] (CallId call,
                                    const TargetClient::Answer& answer) { onCallCompleted (call, answer); })
     , m_announceTimer (context)
-    , m_lifeTimer (context)
+    , m_incarnationTimer (context)
 {
     if (! m_server.listen (m_options.m_listen).ok())
-        throw std::runtime_error ("a target can't listen");
+        throw std::runtime_error ("target failed to listen on its address");
 
-    beginLife();
+    startIncarnation();
     announce();
 }
 
@@ -90,18 +91,18 @@
 std::function<void()> SoakTarget::onRequest (const HttpRequest& request, const HttpServer::Respond& respond)
 {
     const std::string id (findHeader (request.m_headers, "Request-Id"));
-    const bool isMeant = findHeader (request.m_headers, "Expect-Instance") == m_id;
+    const bool isExpectedInstance = findHeader (request.m_headers, "Expect-Instance") == m_id;
 
-    if (! m_isServing || ! isMeant)
+    if (! m_isServing || ! isExpectedInstance)
     {
         respond (makeAnswer (id, 421, false));
         return {};
     }
 
     const auto draw = m_health == Health::failing ? m_random.below (100) : 100;
-    const bool isFull = m_running >= m_options.m_slots * (1 + queuedForEachSlot);
+    const bool isFull = m_running >= m_options.m_slots * (1 + queueLengthPerSlot);
     const bool runs = ! isFull && draw >= refusedPercent;
-    m_ledger.onArrival (id, m_options.m_service, m_id, runs, BootClock::now());
+    m_runHistory.onArrival (id, m_options.m_service, m_id, runs, BootClock::now());
 
     if (! runs)
     {
@@ -113,46 +114,46 @@
     auto job = std::make_shared<Job> (m_context);
     job->m_id = id;
     job->m_respond = respond;
-    job->m_callsLeft = m_options.m_calls;
+    job->m_remainingCalls = m_options.m_calls;
 
     if (draw < failedPercent)
         finish (job, 500);
     else
-        work (job);
+        startWork (job);
 
     return [this, weak = std::weak_ptr (job)] {
-        const auto gone = weak.lock();
+        const auto disconnectedJob = weak.lock();
 
-        if (gone == nullptr || gone->m_isOver)
+        if (disconnectedJob == nullptr || disconnectedJob->m_isFinished)
             return;
 
-        gone->m_isOver = true;
-        gone->m_timer.cancel();
-        m_outbound.abandon (gone->m_call);
-        m_calling.erase (gone->m_call);
+        disconnectedJob->m_isFinished = true;
+        disconnectedJob->m_timer.cancel();
+        m_outbound.abandon (disconnectedJob->m_call);
+        m_jobsByCall.erase (disconnectedJob->m_call);
         --m_running;
     };
 }
 
-void SoakTarget::work (const std::shared_ptr<Job>& job)
+void SoakTarget::startWork (const std::shared_ptr<Job>& job)
 {
-    const auto base = m_options.m_work * (m_health == Health::slow ? slowFactor : 1);
+    const auto base = m_options.m_workDuration * (m_health == Health::slow ? slowFactor : 1);
     const auto spread = Duration (
         static_cast<Duration::rep> (m_random.below (static_cast<std::uint64_t> (base.count()) + 1)));
     job->m_timer.expires_after (base / 2 + spread);
     job->m_timer.async_wait ([this, job] (const boost::system::error_code& error) {
-        if (! error && ! job->m_isOver)
-            callNext (job);
+        if (! error && ! job->m_isFinished)
+            sendNextCall (job);
     });
 }
 
-void SoakTarget::callNext (const std::shared_ptr<Job>& job)
+void SoakTarget::sendNextCall (const std::shared_ptr<Job>& job)
 {
-    if (job->m_callsLeft == 0)
+    if (job->m_remainingCalls == 0)
         return finish (job, 200);
 
     job->m_call = m_nextCall++;
-    m_calling[job->m_call] = job;
+    m_jobsByCall[job->m_call] = job;
     HttpRequest call;
     call.m_method = "GET";
     call.m_target = fmt::format ("/{}-read/x", m_options.m_callee);
@@ -160,15 +161,15 @@
                        { "Request-Id",
                          fmt::format ("{}.{}-{}", job->m_id, m_options.m_instance, job->m_call) },
                        { "Deadline-Ms", "1500" } };
-    m_ledger.onCallSent (m_options.m_callee, BootClock::now());
+    m_runHistory.onCallSent (m_options.m_callee, BootClock::now());
     m_outbound.send (job->m_call, m_options.m_outbound, std::move (call));
 }
 
 void SoakTarget::onCallCompleted (CallId call, const TargetClient::Answer& answer)
 {
-    const auto node = m_calling.extract (call);
+    const auto node = m_jobsByCall.extract (call);
 
-    if (node.empty() || node.mapped()->m_isOver)
+    if (node.empty() || node.mapped()->m_isFinished)
         return;
 
     const auto* response = std::get_if<HttpResponse> (&answer);
@@ -176,22 +177,22 @@
     if (response == nullptr || response->m_status != 200)
         return finish (node.mapped(), 500);
 
-    --node.mapped()->m_callsLeft;
-    callNext (node.mapped());
+    --node.mapped()->m_remainingCalls;
+    sendNextCall (node.mapped());
 }
 
 void SoakTarget::finish (const std::shared_ptr<Job>& job, int status)
 {
-    job->m_isOver = true;
+    job->m_isFinished = true;
     --m_running;
     job->m_respond (makeAnswer (job->m_id, static_cast<std::uint16_t> (status), true));
 }
 
 //==============================================================================
-void SoakTarget::beginLife()
+void SoakTarget::startIncarnation()
 {
-    m_id = fmt::format ("{}-target-{}", m_options.m_instance, ++m_life);
-    m_isLeaving = false;
+    m_id = fmt::format ("{}-target-{}", m_options.m_instance, ++m_incarnation);
+    m_isDraining = false;
     m_isServing = true;
 }
 
@@ -205,12 +206,12 @@
         request.m_contentType = "application/json";
         request.m_body = fmt::format (
             R"({{"service":"{}","address":"{}:{}","zone":"{}","slots":{},"state":"{}","coldLeftS":0,"callSeq":{}}})",
-            m_options.m_service, m_options.m_announced.m_ip, m_options.m_announced.m_port, m_options.m_zone,
-            m_options.m_slots, m_isLeaving ? "draining" : "ready", ++m_sequence);
-        m_announcer.send (m_options.m_control, std::move (request), announcementLimit,
-                          [this, id = m_id, isLeaving = m_isLeaving] (const auto& answer) {
-                              if (isLeaving && answer.ok() && answer->m_status == 200)
-                                  m_ledger.onLeavingAcknowledged (id, BootClock::now());
+            m_options.m_service, m_options.m_advertised.m_ip, m_options.m_advertised.m_port, m_options.m_zone,
+            m_options.m_slots, m_isDraining ? "draining" : "ready", ++m_sequence);
+        m_announcer.send (m_options.m_control, std::move (request), announcementTimeout,
+                          [this, id = m_id, isDraining = m_isDraining] (const auto& answer) {
+                              if (isDraining && answer.ok() && answer->m_status == 200)
+                                  m_runHistory.onDrainAcknowledged (id, BootClock::now());
                           });
     }
 
@@ -221,30 +222,30 @@
     });
 }
 
-void SoakTarget::leave()
+void SoakTarget::drain()
 {
-    if (m_isLeaving || ! m_isServing)
+    if (m_isDraining || ! m_isServing)
         return;
 
-    m_isLeaving = true;
-    m_lifeTimer.expires_after (servesOn);
-    m_lifeTimer.async_wait ([this] (const boost::system::error_code& error) {
+    m_isDraining = true;
+    m_incarnationTimer.expires_after (drainPeriod);
+    m_incarnationTimer.async_wait ([this] (const boost::system::error_code& error) {
         if (! error)
-            endLife();
+            endIncarnation();
     });
 }
 
-void SoakTarget::endLife()
+void SoakTarget::endIncarnation()
 {
     m_isServing = false;
     HttpRequest request;
     request.m_method = "DELETE";
     request.m_target = "/-/instances/" + m_id;
-    m_announcer.send (m_options.m_control, std::move (request), announcementLimit, [] (const auto&) {});
-    m_lifeTimer.expires_after (betweenLives);
-    m_lifeTimer.async_wait ([this] (const boost::system::error_code& error) {
+    m_announcer.send (m_options.m_control, std::move (request), announcementTimeout, [] (const auto&) {});
+    m_incarnationTimer.expires_after (pauseBeforeRestart);
+    m_incarnationTimer.async_wait ([this] (const boost::system::error_code& error) {
         if (! error)
-            beginLife();
+            startIncarnation();
     });
 }
 
--- a/tests/soak/SoakTarget.h
+++ b/tests/soak/SoakTarget.h
@@ -15,14 +15,15 @@
 namespace plankledge::soak
 {
 
-/** @returns the body that belongs to a request, a few kilobytes at most; differs in length and content */
-std::string bodyOf (const std::string& requestId);
+/** @returns the response body that belongs to a request: derived from its id, a few kilobytes at most */
+std::string makeBody (const std::string& requestId);
 
 //==============================================================================
 /**
-    A target as its node sees it: announces itself, runs requests in slots, makes calls
-    through its node, leaves and is replaced. It lives in the soak's process, so that what
-    it saw goes into the ledger at once.
+    Simulates a target: announces itself to its node, runs requests, makes nested calls through the
+    node, drains and restarts.
+
+    Runs in the process of the soak test, so that it can record arrivals directly.
 */
 class SoakTarget
 {
@@ -30,64 +31,68 @@
     //==============================================================================
     struct Options
     {
-        InstanceName m_instance; /**< of the node beside it */
+        InstanceName m_instance; /**< of its node */
         ServiceName m_service;
         ZoneName m_zone;
         Endpoint m_listen;
-        Endpoint m_announced; /**< where its node is to reach it */
-        Endpoint m_outbound;  /**< of its node, for calls */
-        Endpoint m_control;   /**< of its node, for announcements */
+        Endpoint m_advertised; /**< where its node connects to */
+        Endpoint m_outbound;   /**< of its node, for nested calls */
+        Endpoint m_control;    /**< of its node, for announcements */
         unsigned m_slots = 10;
-        Duration m_work {};
-        ServiceName m_callee; /**< that each request calls; empty: none */
+        Duration m_workDuration {};
+        ServiceName m_callee; /**< service that each request calls; empty: none */
         unsigned m_calls = 0;
     };
 
-    /** How its answers are harmed. */
+    /** How the target handles requests. */
     enum class Health : std::uint8_t
     {
-        well,
-        slow,   /**< work takes five times as long */
-        failing /**< three of ten requests are refused, and as many end with 500 */
+        healthy,
+        slow,   /**< runs take five times as long */
+        failing /**< 30 % of requests are refused and 30 % fail with status 500 */
     };
 
-    SoakTarget (boost::asio::io_context& context, Ledger& ledger, Options options, std::uint64_t seed);
+    SoakTarget (boost::asio::io_context& context, RunHistory& runHistory, Options options,
+                std::uint64_t seed);
 
     void setHealth (Health health) { m_health = health; }
 
-    /** Says that it leaves, serves on for a while, ends, and another life begins. */
-    void leave();
+    /** Announces that it drains, serves requests for a while, then stops and restarts as a new incarnation.
+
+        Does nothing while draining or stopped.
+    */
+    void drain();
 
 private:
     //==============================================================================
     struct Job;
 
     std::function<void()> onRequest (const HttpRequest& request, const HttpServer::Respond& respond);
-    void work (const std::shared_ptr<Job>& job);
-    void callNext (const std::shared_ptr<Job>& job);
+    void startWork (const std::shared_ptr<Job>& job);
+    void sendNextCall (const std::shared_ptr<Job>& job);
     void onCallCompleted (CallId call, const TargetClient::Answer& answer);
     void finish (const std::shared_ptr<Job>& job, int status);
-    void beginLife();
+    void startIncarnation();
     void announce();
-    void endLife();
+    void endIncarnation();
 
     boost::asio::io_context& m_context;
-    Ledger& m_ledger;
+    RunHistory& m_runHistory;
     const Options m_options;
     Random m_random;
     HttpServer m_server;
     HttpClient m_announcer;
     TargetClient m_outbound;
     boost::asio::steady_timer m_announceTimer;
-    boost::asio::steady_timer m_lifeTimer;
-    std::map<CallId, std::shared_ptr<Job>> m_calling;
+    boost::asio::steady_timer m_incarnationTimer;
+    std::map<CallId, std::shared_ptr<Job>> m_jobsByCall;
     std::string m_id;
-    Health m_health = Health::well;
-    unsigned m_life = 0;
+    Health m_health = Health::healthy;
+    unsigned m_incarnation = 0;
     unsigned m_running = 0;
     std::uint64_t m_sequence = 0;
     CallId m_nextCall = 1;
-    bool m_isLeaving = false;
+    bool m_isDraining = false;
     bool m_isServing = false;
 };
 
