--- a/tests/promises/NotRun_test.cpp
+++ b/tests/promises/NotRun_test.cpp
@@ -14,8 +14,7 @@
 namespace
 {
 
-/** Interval between requests: offers twice the capacity of the slots, so that refusals and faults coincide.
- */
+/** Short enough to offer twice the capacity of the slots, so that refusals and faults coincide. */
 constexpr std::chrono::milliseconds requestInterval { 8 };
 
 /** A fault that is injected while requests are in flight. */
