--- a/tests/contracts/Programs_test.cpp
+++ b/tests/contracts/Programs_test.cpp
@@ -169,8 +169,9 @@
 
     for (int number = 0; number < calls; ++number)
     {
-        (void)cluster.call ("l1", "/lodgement/lodge", sending (fmt::format ("k{}", number), 1, 0));
-        (void)cluster.call ("l2", "/lodgement/lodge", sending (fmt::format ("k{}", number), 2, 10));
+        (void)cluster.call ("l1", "/lodgement/lodge", makeAttemptHeaders (fmt::format ("k{}", number), 1, 0));
+        (void)cluster.call ("l2", "/lodgement/lodge",
+                            makeAttemptHeaders (fmt::format ("k{}", number), 2, 10));
     }
 
     cluster.signalNode ("l1", SIGTERM);
--- a/tests/promises/AtMostOnce_test.cpp
+++ b/tests/promises/AtMostOnce_test.cpp
@@ -50,13 +50,13 @@
     Fixture fixture;
     auto& cluster = fixture.m_cluster;
     const std::string key = "resent";
-    const auto first = cluster.call (fixture.owner (key), path, sending (key, 1, 0));
+    const auto first = cluster.call (fixture.owner (key), path, makeAttemptHeaders (key, 1, 0));
     REQUIRE (outcomeOf (first) == "completed");
 
     for (const auto& entry : lodgementInstances)
     {
         CAPTURE (entry);
-        const auto again = cluster.call (entry, path, sending (key, 2, 100));
+        const auto again = cluster.call (entry, path, makeAttemptHeaders (key, 2, 100));
         CHECK (outcomeOf (again) == "completed");
         CHECK (again->m_body == first->m_body);
     }
@@ -64,7 +64,7 @@
     const auto withoutAttempt = cluster.call ("l1", path, { { "Idempotency-Key", key } });
     CHECK (outcomeOf (withoutAttempt) == "completed");
 
-    const auto otherBody = cluster.call ("l2", path, sending (key, 2, 100), "another body");
+    const auto otherBody = cluster.call ("l2", path, makeAttemptHeaders (key, 2, 100), "another body");
     CHECK (otherBody->m_status == 409);
     CHECK (cluster.runsOf (key) == 1);
 }
@@ -77,8 +77,8 @@
     for (int number = 0; number < 10; ++number)
     {
         const auto key = fmt::format ("twin-{}", number);
-        auto first = cluster.callAsync ("l1", path, sending (key, 1, 0));
-        auto second = cluster.callAsync ("l2", path, sending (key, 2, 0));
+        auto first = cluster.callAsync ("l1", path, makeAttemptHeaders (key, 1, 0));
+        auto second = cluster.callAsync ("l2", path, makeAttemptHeaders (key, 2, 0));
         auto third = cluster.callAsync ("l3", path, { { "Idempotency-Key", key } });
         const auto answers = { first.get(), second.get(), third.get() };
         int completed = 0;
@@ -96,14 +96,14 @@
     Fixture fixture (600);
     auto& cluster = fixture.m_cluster;
     const std::string key = "killed";
-    auto first = cluster.callAsync (fixture.third (key), path, sending (key, 1, 0));
+    auto first = cluster.callAsync (fixture.third (key), path, makeAttemptHeaders (key, 1, 0));
     REQUIRE (fixture.waitUntilRunning (key));
     cluster.signalNode (fixture.owner (key), SIGKILL);
     CHECK (outcomeOf (first.get()) == "unknown");
 
     for (const auto& entry : { fixture.second (key), fixture.third (key) })
     {
-        const auto again = cluster.call (entry, path, sending (key, 2, 700));
+        const auto again = cluster.call (entry, path, makeAttemptHeaders (key, 2, 700));
         CHECK (outcomeOf (again) == "unknown");
         CHECK (! findHeader (again->m_headers, "Retry-After").empty());
     }
@@ -117,8 +117,10 @@
     auto& cluster = fixture.m_cluster;
     const std::string key = "early";
     cluster.signalNode (fixture.owner (key), SIGKILL);
-    CHECK (outcomeOf (cluster.call (fixture.third (key), path, sending (key, 1, 0))) == "completed");
-    CHECK (outcomeOf (cluster.call (fixture.second (key), path, sending (key, 2, 100))) == "completed");
+    CHECK (outcomeOf (cluster.call (fixture.third (key), path, makeAttemptHeaders (key, 1, 0))) ==
+           "completed");
+    CHECK (outcomeOf (cluster.call (fixture.second (key), path, makeAttemptHeaders (key, 2, 100))) ==
+           "completed");
     CHECK (cluster.runsOf (key) == 1);
 }
 
@@ -128,14 +130,14 @@
     auto& cluster = fixture.m_cluster;
     const std::string key = "restarted";
     const auto owner = fixture.owner (key);
-    REQUIRE (outcomeOf (cluster.call (owner, path, sending (key, 1, 0))) == "completed");
+    REQUIRE (outcomeOf (cluster.call (owner, path, makeAttemptHeaders (key, 1, 0))) == "completed");
     cluster.signalNode (owner, SIGKILL);
     cluster.startNode (owner);
     REQUIRE (waitFor ([&] { return cluster.isReady (owner); }));
 
     for (const auto& entry : lodgementInstances)
     {
-        const auto again = cluster.call (entry, path, sending (key, 2, 20000));
+        const auto again = cluster.call (entry, path, makeAttemptHeaders (key, 2, 20000));
         CHECK (outcomeOf (again) == "unknown");
         CHECK (reasonOf (again) == "memory-lost");
     }
@@ -143,7 +145,7 @@
     CHECK (cluster.runsOf (key) == 1);
 
     // A key first used after the restart is not affected.
-    const auto fresh = cluster.call (owner, path, sending ("fresh", 1, 0));
+    const auto fresh = cluster.call (owner, path, makeAttemptHeaders ("fresh", 1, 0));
     CHECK (outcomeOf (fresh) == "completed");
 }
 
@@ -153,13 +155,13 @@
     auto& cluster = fixture.m_cluster;
     const std::string key = "frozen";
     cluster.signalNode (fixture.owner (key), SIGSTOP);
-    auto headers = sending (key, 1, 0);
+    auto headers = makeAttemptHeaders (key, 1, 0);
     headers.emplace_back ("Plankledge-Timeout-Ms", "1000");
     const auto first = cluster.call (fixture.third (key), path, headers);
     CHECK (outcomeOf (first) == "unknown");
     CHECK (first->m_status == 504);
 
-    const auto again = cluster.call (fixture.second (key), path, sending (key, 2, 1000));
+    const auto again = cluster.call (fixture.second (key), path, makeAttemptHeaders (key, 2, 1000));
     CHECK (outcomeOf (again) == "unknown");
     cluster.signalNode (fixture.owner (key), SIGCONT);
     REQUIRE (
@@ -168,7 +170,8 @@
 
     // Once the owner has resumed, a retry can establish that the request has not run, and runs it.
     REQUIRE (waitFor ([&] {
-        return outcomeOf (cluster.call (fixture.third (key), path, sending (key, 3, 5000))) == "completed";
+        return outcomeOf (cluster.call (fixture.third (key), path, makeAttemptHeaders (key, 3, 5000))) ==
+               "completed";
     }));
     CHECK (cluster.runsOf (key) == 1);
 }
@@ -179,15 +182,16 @@
     auto& cluster = fixture.m_cluster;
 
     for (int number = 0; number < 20; ++number)
-        REQUIRE (outcomeOf (cluster.call ("l1", path, sending (fmt::format ("join-{}", number), 1, 0))) ==
-                 "completed");
+        REQUIRE (outcomeOf (cluster.call (
+                     "l1", path, makeAttemptHeaders (fmt::format ("join-{}", number), 1, 0))) == "completed");
 
     cluster.addPair ("l4", "lodgement");
     cluster.addPair ("l5", "lodgement");
     const auto retryAll = [&] {
         for (int number = 0; number < 20; ++number)
             for (const auto* entry : { "l2", "l4", "l5" })
-                (void)cluster.call (entry, path, sending (fmt::format ("join-{}", number), 2, 2000));
+                (void)cluster.call (entry, path,
+                                    makeAttemptHeaders (fmt::format ("join-{}", number), 2, 2000));
     };
     retryAll();
     cluster.waitUntilReady();
@@ -203,14 +207,14 @@
     auto& cluster = fixture.m_cluster;
     const std::string key = "left";
     const auto owner = fixture.owner (key);
-    const auto first = cluster.call (owner, path, sending (key, 1, 0));
+    const auto first = cluster.call (owner, path, makeAttemptHeaders (key, 1, 0));
     REQUIRE (outcomeOf (first) == "completed");
     cluster.signalNode (owner, SIGTERM);
     REQUIRE (waitFor ([&] { return ! cluster.isNodeRunning (owner); }));
 
     for (const auto& entry : { fixture.second (key), fixture.third (key) })
     {
-        const auto again = cluster.call (entry, path, sending (key, 2, 3000));
+        const auto again = cluster.call (entry, path, makeAttemptHeaders (key, 2, 3000));
         CHECK (outcomeOf (again) == "completed");
         CHECK (again->m_body == first->m_body);
     }
@@ -228,9 +232,9 @@
     for (int number = 0; number < 20; ++number)
     {
         const auto key = fmt::format ("outage-{}", number);
-        CHECK (outcomeOf (cluster.call (number % 2 == 0 ? "l1" : "l2", path, sending (key, 1, 0))) ==
-               "completed");
-        (void)cluster.call (number % 2 == 0 ? "l2" : "l1", path, sending (key, 2, 50));
+        CHECK (outcomeOf (cluster.call (number % 2 == 0 ? "l1" : "l2", path,
+                                        makeAttemptHeaders (key, 1, 0))) == "completed");
+        (void)cluster.call (number % 2 == 0 ? "l2" : "l1", path, makeAttemptHeaders (key, 2, 50));
         CHECK (cluster.runsOf (key) == 1);
     }
 }
--- a/tests/promises/NotRun_test.cpp
+++ b/tests/promises/NotRun_test.cpp
@@ -84,7 +84,7 @@
             sent.push_back ({ name, cluster.callAsync ("s1", "/search/parcels?" + name) });
         else
             sent.push_back ({ name, cluster.callAsync (number % 4 == 1 ? "l1" : "l2", "/lodgement/lodge",
-                                                       sending (name, 1, 0)) });
+                                                       makeAttemptHeaders (name, 1, 0)) });
     }
 
     return sent;
@@ -142,16 +142,17 @@
     cluster.propose (landRegistryDeclarations, 0, "first");
     cluster.addPair ("l1", "lodgement", slow);
     cluster.waitUntilReady();
-    auto answer = cluster.callAsync ("l1", "/lodgement/lodge", sending ("broken", 1, 0));
+    auto answer = cluster.callAsync ("l1", "/lodgement/lodge", makeAttemptHeaders ("broken", 1, 0));
     REQUIRE (waitFor ([&] { return cluster.runsOf ("broken") == 1; }));
     cluster.signalTarget ("l1", SIGKILL);
     const auto first = answer.get();
     CHECK (outcomeOf (first) == "unknown");
     CHECK (reasonOf (first) == "target-broken");
-    CHECK (outcomeOf (cluster.call ("l1", "/lodgement/lodge", sending ("broken", 2, 700))) == "unknown");
+    CHECK (outcomeOf (cluster.call ("l1", "/lodgement/lodge", makeAttemptHeaders ("broken", 2, 700))) ==
+           "unknown");
 
     // The target now refuses connections, so the request is known not to have run.
-    const auto next = cluster.call ("l1", "/lodgement/lodge", sending ("refused", 1, 0));
+    const auto next = cluster.call ("l1", "/lodgement/lodge", makeAttemptHeaders ("refused", 1, 0));
     CHECK (outcomeOf (next) == "not-run");
 }
 
--- a/tests/promises/PlannedStop_test.cpp
+++ b/tests/promises/PlannedStop_test.cpp
@@ -98,7 +98,7 @@
             for (const char character : key)
                 name += std::isalnum (static_cast<unsigned char> (character)) != 0 ? character : '-';
 
-            answers.push_back (cluster.callAsync ("l1", "/lodgement/lodge", sending (name, 1, 0)));
+            answers.push_back (cluster.callAsync ("l1", "/lodgement/lodge", makeAttemptHeaders (name, 1, 0)));
         }
 
         // Before the stop, all requests are running at the leaves of their chains.
--- a/tests/soak/Ledger.cpp
+++ b/tests/soak/RunHistory.cpp
@@ -1,4 +1,4 @@
-#include "soak/Ledger.h"
+#include "soak/RunHistory.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/tests/soak/SoakTarget.h
+++ b/tests/soak/SoakTarget.h
@@ -4,7 +4,7 @@
 #include "plankledge_runtime/HttpClient.h"
 #include "plankledge_runtime/HttpServer.h"
 #include "plankledge_runtime/TargetClient.h"
-#include "soak/Ledger.h"
+#include "soak/RunHistory.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/tests/support/Cluster.cpp
+++ b/tests/support/Cluster.cpp
@@ -76,7 +76,7 @@
     return order.at (rank);
 }
 
-HttpHeaders sending (const std::string& key, int attempt, int ageMs)
+HttpHeaders makeAttemptHeaders (const std::string& key, int attempt, int ageMs)
 {
     return { { "Idempotency-Key", key },
              { "Plankledge-Attempt", std::to_string (attempt) },
--- a/tests/support/Cluster.h
+++ b/tests/support/Cluster.h
@@ -127,7 +127,7 @@
                           std::size_t rank = 0);
 
 /** @returns the headers of an attempt with a key */
-HttpHeaders sending (const std::string& key, int attempt, int ageMs);
+HttpHeaders makeAttemptHeaders (const std::string& key, int attempt, int ageMs);
 
 std::string outcomeOf (const absl::StatusOr<HttpResponse>& response);
 std::string reasonOf (const absl::StatusOr<HttpResponse>& response);
