--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -325,7 +325,7 @@
     ServiceName m_service;
     Endpoint m_endpoint;
     std::uint32_t m_slots = 0;
-    std::optional<Duration> m_startedAt {}; /**< since the Unix epoch, by the target's clock: tells restarts
+    std::optional<Duration> m_startedAt {}; /**< since the Unix epoch, by the target's clock: distinguishes
                                                with the same id apart; nullopt: not announced */
 
     auto operator<=> (const TargetAnnounced&) const = default;
--- a/modules/plankledge_policy/relay/RelayDecisions.cpp
+++ b/modules/plankledge_policy/relay/RelayDecisions.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/** Period of retrying held requests and detecting silent peers. */
+/** Interval of retrying queued requests and detecting unresponsive peers. */
 constexpr Duration windowPeriod = Milliseconds (100);
 
-/** Period of checking which peers are due a hello. */
+/** Interval of checking to which peers a hello is due. */
 constexpr Duration helloCheckPeriod = Milliseconds (200);
 
 /** A window that ends later than this means that the process was not scheduled. */
@@ -24,7 +24,7 @@
     it from the store. */
 constexpr std::size_t versionFanout = 4;
 
-/** Period of checking whether a stopping node is idle. */
+/** Interval of checking whether a stopping node is idle. */
 constexpr Duration stopCheckPeriod = Milliseconds (100);
 
 /** A stopping node's gate stays open this long, since the node has to serve its callers in any case. Requests
@@ -48,8 +48,8 @@
     , m_peers (turn.settings().m_self)
     , m_keys (settings, turn.settings().m_self, m_peers)
     , m_limits (settings, m_routes, m_peers,
-                [this] (Turn& inner, CallId request, const OrganisationLimits::LimitDecision& judgement) {
-                    m_entry.onLimitDecided (inner, request, judgement);
+                [this] (Turn& inner, CallId request, const OrganisationLimits::LimitDecision& decision) {
+                    m_entry.onLimitDecided (inner, request, decision);
                 })
     , m_contacts (turn.settings().m_self)
     , m_store (turn.settings().m_self, m_peers)
@@ -61,7 +61,7 @@
                 [this] (Turn&) { onGateChanged(); }, [this] { return m_routes.version(); }, m_crashes })
     , m_entry (settings, turn.settings().m_self,
                { m_routes, m_peers, m_calls, m_gate, m_keys, m_limits, m_crashes,
-                 [this] (const ServiceName& service) { requireService (service); } })
+                 [this] (const ServiceName& service) { trackService (service); } })
 {
 }
 
@@ -134,13 +134,14 @@
     {
         m_turn.emit (
             LogDecision { Decision::peerLost, {}, { { "peer", instance }, { "reason", "silent" } } });
-        m_entry.onPeerSilent (m_turn, instance);
+        m_entry.onPeerUnresponsive (m_turn, instance);
         m_limits.onPeerDown (m_turn, instance);
     }
 
-    // Detects a silent peer with requests in flight within 1 s: 200 ms idle, 600 ms unanswered, two windows.
+    // Detects an unresponsive peer with requests in flight within 1 s: 200 ms without a frame, 600 ms without
+    // an answer to the hello, two windows.
     for (const auto* peer : m_peers.others())
-        if (PeerContacts::isQuietWithRequests (*peer, now))
+        if (PeerContacts::needsLivenessCheck (*peer, now))
             sendHello (*peer, false);
 
     m_limits.onWindowEnd (m_turn);
@@ -150,9 +151,9 @@
 }
 
 //==============================================================================
-void RelayDecisions::requireService (const ServiceName& service)
+void RelayDecisions::trackService (const ServiceName& service)
 {
-    if (m_contacts.need (service, m_turn.now()))
+    if (m_contacts.trackService (service, m_turn.now()))
         sendDueHellos();
 }
 
@@ -170,13 +171,13 @@
 {
     const auto now = m_turn.now();
 
-    for (const auto* peer : m_contacts.due (m_peers, now))
+    for (const auto* peer : m_contacts.peersDueForHello (m_peers, now))
         sendHello (*peer, PeerContacts::areCallsDue (*peer, now));
 
-    for (const auto* peer : m_store.due (now, m_routes.isKnown()))
+    for (const auto* peer : m_store.peersDueForHello (now, m_routes.isKnown()))
         sendHello (*peer, false);
 
-    for (const auto* peer : m_limits.due (now))
+    for (const auto* peer : m_limits.peersDueForHello (now))
         sendHello (*peer, false);
 }
 
@@ -206,7 +207,7 @@
 
     if (services.size() <= maxEagerServices)
         for (const auto& service : services)
-            requireService (service);
+            trackService (service);
 
     auto reachable = m_peers.others();
     std::erase_if (reachable, [] (const Peer* peer) { return ! peer->m_isReachable; });
@@ -270,13 +271,13 @@
 {
     for (const auto& instance : withdrawn)
     {
-        m_peers.forget (instance);
-        m_calls.forget (instance);
+        m_peers.removeIfUnreachable (instance);
+        m_calls.removePeer (instance);
     }
 
     for (const auto& member : members)
     {
-        if (! m_peers.learn (member, PeerTable::Source::store))
+        if (! m_peers.addOrUpdate (member, PeerTable::Source::store))
             continue;
 
         m_turn.emit (LogDecision { Decision::peerFound,
@@ -341,7 +342,7 @@
 
 void RelayDecisions::onMessage (LinkId link, const NodeId& from, const PeerHello& message)
 {
-    if (message.m_member.m_id == from && m_peers.learn (message.m_member, PeerTable::Source::itself))
+    if (message.m_member.m_id == from && m_peers.addOrUpdate (message.m_member, PeerTable::Source::itself))
         m_turn.emit (LogDecision { Decision::peerFound,
                                    {},
                                    { { "peer", from.m_instance },
@@ -418,7 +419,7 @@
 
 void RelayDecisions::onMessage (LinkId link, const NodeId& from, const MembersPull& message)
 {
-    m_turn.emit (ReplyOnLink { link, from.m_instance, m_store.since (message.m_have) });
+    m_turn.emit (ReplyOnLink { link, from.m_instance, m_store.changesSince (message.m_have) });
 }
 
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersTold& message)
@@ -472,20 +473,20 @@
 
 void RelayDecisions::onStopTimer()
 {
-    const auto since = m_turn.now() - *m_stoppedAt;
+    const auto elapsed = m_turn.now() - *m_stoppedAt;
 
-    if (since >= gateCloseDelay)
+    if (elapsed >= gateCloseDelay)
         m_gate.stop (m_turn);
 
     const bool isDone = m_gate.isIdle() && m_entry.isIdle();
 
-    if ((isDone && since >= minStopDuration) || since >= m_settings.m_stopGrace - stopMargin)
+    if ((isDone && elapsed >= minStopDuration) || elapsed >= m_settings.m_stopGrace - stopMargin)
     {
         if (m_gate.target().isLeaving())
             m_turn.emit (WithdrawMember { m_peers.self() });
 
         if (! isDone)
-            m_turn.emit (WriteLog { Notice::drainTimedOut, {}, toMilliseconds (since) });
+            m_turn.emit (WriteLog { Notice::drainTimedOut, {}, toMilliseconds (elapsed) });
 
         m_turn.emit (Exit {});
         return;
--- a/modules/plankledge_policy/relay/RelayDecisions.h
+++ b/modules/plankledge_policy/relay/RelayDecisions.h
@@ -92,7 +92,7 @@
     void onHelloTimer();
     void onWindowEnd();
     void onStopTimer();
-    void requireService (const ServiceName& service);
+    void trackService (const ServiceName& service);
     void sendHello (const Peer& peer, bool asksForCalls);
     void addMembers (const std::vector<Member>& members, const std::vector<InstanceName>& withdrawn,
                      const std::string& source);
--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -108,7 +108,7 @@
 
 /** @returns the primary follower of the zone. If there is none, or the proof is at least half the bound old:
     a random follower of any zone that reaches the store, or any reachable peer. */
-const Peer* KeyGuard::choosePeerToAsk (Turn& turn, const Peer* primary) const
+const Peer* KeyGuard::selectPeerToAsk (Turn& turn, const Peer* primary) const
 {
     const bool isLate = isOlderThan (m_bound / askAnyPeerDivisor, turn.now());
 
@@ -132,13 +132,13 @@
     // Half of the late questions go to any reachable peer, since the list of followers may be as stale as the
     // proof.
     const bool isAnyPeer = followers.empty() || (isLate && turn.random().below (2) == 0);
-    const auto& chosen = isAnyPeer ? reachable : followers;
-    return chosen.empty() ? nullptr : chosen[turn.random().below (chosen.size())];
+    const auto& eligible = isAnyPeer ? reachable : followers;
+    return eligible.empty() ? nullptr : eligible[turn.random().below (eligible.size())];
 }
 
 void KeyGuard::ask (Turn& turn, const Peer* primary)
 {
-    const auto* peer = choosePeerToAsk (turn, primary);
+    const auto* peer = selectPeerToAsk (turn, primary);
 
     if (peer == nullptr)
         return;
--- a/modules/plankledge_policy/relay/access/KeyGuard.h
+++ b/modules/plankledge_policy/relay/access/KeyGuard.h
@@ -75,7 +75,7 @@
     //==============================================================================
     bool isProofRequired() const noexcept { return m_areKeysDeclared && m_bound > Duration::zero(); }
     bool isOlderThan (Duration limit, Time now) const noexcept;
-    const Peer* choosePeerToAsk (Turn& turn, const Peer* primary) const;
+    const Peer* selectPeerToAsk (Turn& turn, const Peer* primary) const;
     void ask (Turn& turn, const Peer* primary);
     void readStore (Turn& turn);
     void logProofChange (Turn& turn);
--- a/modules/plankledge_policy/relay/access/Organisations.h
+++ b/modules/plankledge_policy/relay/access/Organisations.h
@@ -26,7 +26,7 @@
 struct Organisation
 {
     OrganisationName m_name;
-    std::uint32_t m_priority = 0;        /**< of its requests; 0 is the highest and is rejected last */
+    std::uint32_t m_priority = 0;        /**< of its requests; 0 is the highest and is refused last */
     std::optional<RequestLimit> m_limit; /**< nullopt: unlimited */
     std::vector<std::string> m_keys;     /**< API keys, each of which identifies it */
 
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -25,14 +25,14 @@
 //==============================================================================
 void CrashGuard::onAnswered (Turn& turn, ContentDigest content)
 {
-    m_watch.onAnswered (content, turn.now());
+    m_detector.onAnswered (content, turn.now());
 
-    if (! m_ledger.isSuspect (content))
+    if (! m_crashHistory.isSuspect (content))
         return;
 
     const CrashAcquittal acquittal { content, {} };
 
-    if (! m_ledger.learn (acquittal, turn.now()))
+    if (! m_crashHistory.add (acquittal, turn.now()))
         return;
 
     ++turn.counters().m_acquittals;
@@ -44,8 +44,8 @@
     const Peer* best = nullptr;
     std::uint64_t bestWeight = 0;
 
-    // Includes nodes whose gate is closed. Otherwise the trial would move on to another target whenever
-    // the chosen one crashes.
+    // Includes nodes whose gate is closed. Otherwise the trial would continue at another target whenever
+    // the selected one crashes.
     for (const auto* peer : m_peers.ofService (service))
     {
         if (! peer->m_isReachable)
@@ -70,11 +70,11 @@
 
     if (now - m_lastExpiryAt >= expiryPeriod)
     {
-        m_ledger.removeExpired (now);
+        m_crashHistory.removeExpired (now);
         m_lastExpiryAt = now;
     }
 
-    for (auto& finding : m_watch.takeFindings (now))
+    for (auto& finding : m_detector.takeFindings (now))
     {
         auto& counters = turn.counters();
         ++(finding.m_isWithdrawn ? counters.m_crashesWithdrawn : counters.m_crashReports);
@@ -89,7 +89,7 @@
                              finding.m_isWithdrawn,
                              std::move (finding.m_suspects) };
 
-        if (m_ledger.learn (report, now))
+        if (m_crashHistory.add (report, now))
             m_pendingUpdate.m_crashes.push_back (std::move (report));
     }
 
@@ -105,11 +105,11 @@
 
     // Acquittals first: they may also clear crashes reported in the same message.
     for (const auto& acquittal : update.m_acquittals)
-        if (m_ledger.learn (acquittal, turn.now()))
+        if (m_crashHistory.add (acquittal, turn.now()))
             unseen.m_acquittals.push_back (acquittal);
 
     for (const auto& report : update.m_crashes)
-        if (m_ledger.learn (report, turn.now()))
+        if (m_crashHistory.add (report, turn.now()))
             unseen.m_crashes.push_back (report);
 
     logHeld (turn);
@@ -127,42 +127,42 @@
 
 void CrashGuard::logHeld (Turn& turn)
 {
-    for (const auto& [content, crashes] : m_ledger.takeNewlyHeld())
+    for (const auto& [content, crashes] : m_crashHistory.takeNewlyHeld())
         turn.emit (LogDecision {
             Decision::contentHeld,
             {},
             { { "content", detail::digest (content) },
               { "crashes", detail::number (crashes) },
               { "for_ms",
-                detail::milliseconds (m_ledger.holdStatus (content, turn.now()).m_holdRemaining) } } });
+                detail::milliseconds (m_crashHistory.holdStatus (content, turn.now()).m_holdRemaining) } } });
 }
 
 //==============================================================================
 void CrashGuard::onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const
 {
-    if (pull.m_have != m_ledger.digest())
-        turn.emit (ReplyOnLink { link, from, m_ledger.snapshot (turn.now()) });
+    if (pull.m_have != m_crashHistory.digest())
+        turn.emit (ReplyOnLink { link, from, m_crashHistory.snapshot (turn.now()) });
 }
 
 void CrashGuard::onDigest (Turn& turn, const Peer& peer, std::uint64_t digest)
 {
     const auto& instance = peer.m_member.m_id.m_instance;
 
-    // A peer with an empty ledger has nothing to send, and requests this node's ledger itself.
-    if (digest == m_ledger.digest() || digest == 0)
+    // A peer with an empty history has nothing to send, and requests this node's history itself.
+    if (digest == m_crashHistory.digest() || digest == 0)
     {
         m_mismatchSince.erase (instance);
         return;
     }
 
     const auto [since, isFirst] = m_mismatchSince.try_emplace (instance, turn.now());
-    const bool isLedgerEmpty = m_ledger.digest() == 0;
+    const bool isHistoryEmpty = m_crashHistory.digest() == 0;
 
-    if (isFirst ? ! isLedgerEmpty : turn.now() - since->second < digestMismatchGrace)
+    if (isFirst ? ! isHistoryEmpty : turn.now() - since->second < digestMismatchGrace)
         return;
 
     since->second = turn.now();
-    turn.emit (SendToPeer { instance, peer.m_member.m_endpoint, CrashPull { m_ledger.digest() } });
+    turn.emit (SendToPeer { instance, peer.m_member.m_endpoint, CrashPull { m_crashHistory.digest() } });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -14,12 +14,12 @@
 /**
     Withholds requests that crash targets from every target of the fleet.
 
-    Detects crashes of this node's own target, exchanges crash reports with the other nodes, and decides
+    Detects crashes of the local target, exchanges crash reports with the other nodes, and decides
     which requests may be sent. Both the entry node and the node of the target check a request, so it is
-    blocked if either of them knows about it.
+    withheld if either of them knows about it.
 
     New reports are sent to every reachable peer at once. Hello and status messages carry a digest of the
-    ledger, so that a node that missed a report, or has just started, requests the complete ledger.
+    crash history, so that a node that missed a report, or has just started, requests the complete history.
 
     @see CrashLedger, CrashWatch
 */
@@ -27,14 +27,14 @@
 {
 public:
     //==============================================================================
-    /** How long the digest of a peer may differ before its ledger is requested. Longer than a report takes
-        to arrive. */
+    /** How long the digest of a peer may differ before its crash history is requested. Longer than a report
+       takes to arrive. */
     static constexpr Duration digestMismatchGrace = std::chrono::seconds (1);
 
     CrashGuard (const NodeId& self, PeerTable& peers);
 
     //==============================================================================
-    CrashWatch& watch() noexcept { return m_watch; }
+    CrashWatch& detector() noexcept { return m_detector; }
 
     /** Called when this node's target has completed a request. */
     void onAnswered (Turn& turn, ContentDigest content);
@@ -42,7 +42,7 @@
     /** @returns whether the request may be sent to a target */
     HoldStatus holdStatus (ContentDigest content, Time now) const
     {
-        return m_ledger.holdStatus (content, now);
+        return m_crashHistory.holdStatus (content, now);
     }
 
     /** @returns the only node whose target may run a request that is on trial, whether its gate is open or
@@ -56,12 +56,12 @@
     void onUpdate (Turn& turn, const InstanceName& from, const CrashUpdate& update);
     void onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const;
 
-    /** Compares a peer's ledger digest with this node's, and requests the peer's ledger if they keep
-        differing. */
+    /** Compares the digest of a peer's crash history with this node's, and requests the peer's history if
+        they keep differing. */
     void onDigest (Turn& turn, const Peer& peer, std::uint64_t digest);
 
-    std::uint64_t digest() const noexcept { return m_ledger.digest(); }
-    const CrashLedger& ledger() const noexcept { return m_ledger; }
+    std::uint64_t digest() const noexcept { return m_crashHistory.digest(); }
+    const CrashLedger& crashHistory() const noexcept { return m_crashHistory; }
 
 private:
     //==============================================================================
@@ -70,8 +70,8 @@
 
     const NodeId m_self;
     PeerTable& m_peers;
-    CrashWatch m_watch;
-    CrashLedger m_ledger;
+    CrashWatch m_detector;
+    CrashLedger m_crashHistory;
     Time m_lastExpiryAt;
     CrashUpdate m_pendingUpdate;                  /**< found by this node and not yet sent */
     std::map<InstanceName, Time> m_mismatchSince; /**< by peer; only peers whose digest differs */
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 //==============================================================================
-bool CrashLedger::learn (const CrashReport& report, Time now)
+bool CrashLedger::add (const CrashReport& report, Time now)
 {
     if (report.m_age >= retentionPeriod)
         return false;
@@ -102,7 +102,7 @@
 }
 
 //==============================================================================
-bool CrashLedger::learn (const CrashAcquittal& acquittal, Time now)
+bool CrashLedger::add (const CrashAcquittal& acquittal, Time now)
 {
     if (acquittal.m_age >= retentionPeriod)
         return false;
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.h
+++ b/modules/plankledge_policy/relay/crashes/CrashLedger.h
@@ -63,15 +63,15 @@
     static constexpr Duration retentionPeriod = maxHold * 2;
 
     /** Limit on the suspects of all crashes together. About 1 MB in memory, and 128 KB in a message with the
-        complete ledger. */
+        complete history. */
     static constexpr std::size_t maxSuspects = 16'384;
 
     //==============================================================================
-    /** @returns whether the report added anything to the ledger */
-    bool learn (const CrashReport& report, Time now);
+    /** @returns whether the report added anything to the history */
+    bool add (const CrashReport& report, Time now);
 
-    /** @returns whether the acquittal added anything to the ledger */
-    bool learn (const CrashAcquittal& acquittal, Time now);
+    /** @returns whether the acquittal added anything to the history */
+    bool add (const CrashAcquittal& acquittal, Time now);
 
     /** @returns whether a target crashed while running the request and none has completed it since */
     bool isSuspect (ContentDigest content) const { return m_suspects.contains (content); }
@@ -84,10 +84,10 @@
     /** Removes crashes and acquittals that are older than retentionPeriod. */
     void removeExpired (Time now);
 
-    /** @returns the complete ledger, as a message to another node */
+    /** @returns the complete history, as a message to another node */
     CrashUpdate snapshot (Time now) const;
 
-    /** @returns a digest that is equal for equal ledgers; 0 if the ledger is empty */
+    /** @returns a digest that is equal for equal histories; 0 if the history is empty */
     std::uint64_t digest() const noexcept { return m_digest; }
 
     std::size_t crashes() const noexcept { return m_crashes.size(); }
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.h
+++ b/modules/plankledge_policy/relay/crashes/CrashWatch.h
@@ -11,7 +11,7 @@
 
 //==============================================================================
 /**
-    Detects crashes of this node's own target from the events at its gate, and determines the suspects
+    Detects crashes of the local target from the events at its gate, and determines the suspects
     among the requests that were running.
 
     A broken connection alone does not prove a crash, since answers get lost and connections get reset. It
--- a/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.cpp
@@ -24,9 +24,9 @@
     of their priority. */
 constexpr double maxRelativeCost = 1.25;
 
-/** Share of first attempts of lower priorities that are promoted to the most urgent priority, in thousandths.
-    Prevents starvation: where the most urgent priority alone can saturate the bottleneck service, each lower
-    priority is still admitted about a quarter as often as the most urgent one. */
+/** Share of first attempts of lower priorities that are promoted to the highest priority, in thousandths.
+    Prevents starvation: where the highest priority alone can saturate the bottleneck service, each lower
+    priority is still admitted about a quarter as often as the highest one. */
 constexpr std::uint64_t promotedPermille = 250;
 
 /** @returns the mean service time of a route over the targets of a service, in microseconds; 0 if unknown */
@@ -37,7 +37,7 @@
 
     for (const auto* peer : peers.acceptingRequests (service))
     {
-        const auto time = static_cast<double> (peer->timeOf (route).count());
+        const auto time = static_cast<double> (peer->routeTimeOf (route).count());
         sum += time;
         reportingPeers += time > 0.0 ? 1.0 : 0.0;
     }
@@ -76,7 +76,7 @@
     if (isClientRetry || random.below (1000) >= promotedPermille)
         return route.m_priority;
 
-    return std::min (route.m_priority, routes.mostUrgentPriority());
+    return std::min (route.m_priority, routes.highestPriority());
 }
 
 EntryAdmission::Bottleneck EntryAdmission::findBottleneck (const ServiceName& service,
--- a/modules/plankledge_policy/relay/entry/EntryAdmission.h
+++ b/modules/plankledge_policy/relay/entry/EntryAdmission.h
@@ -26,7 +26,7 @@
     Requests that are expensive for the bottleneck service tend to be shed first, so that
     its slots serve more callers.
 
-    A share of the requests of lower priorities is promoted to the most urgent priority,
+    A share of the requests of lower priorities is promoted to the highest priority,
     for its whole call chain, so that lower priorities are not starved.
 */
 class EntryAdmission
@@ -45,7 +45,7 @@
     struct AdmissionDecision
     {
         std::optional<Refusal> m_refusal; /**< nullopt if the request is admitted */
-        std::uint32_t m_priority = 0;     /**< the priority of its route, or a more urgent one */
+        std::uint32_t m_priority = 0;     /**< the priority of its route, or a higher one */
     };
 
     /** @param timeout   the timeout that the caller set for this attempt */
--- a/modules/plankledge_policy/relay/entry/EntryLog.cpp
+++ b/modules/plankledge_policy/relay/entry/EntryLog.cpp
@@ -49,7 +49,7 @@
                { "version", number (version) },
                { "load", number (peer.load()) },
                { "limit", number (peer.m_gate.m_limit) },
-               { "gate_age_ms", milliseconds (now - peer.m_heardAt) },
+               { "gate_age_ms", milliseconds (now - peer.m_lastFrameAt) },
                { "time_left_ms", milliseconds (request.m_deadline - now) } } };
 }
 
--- a/modules/plankledge_policy/relay/entry/EntryRequest.h
+++ b/modules/plankledge_policy/relay/entry/EntryRequest.h
@@ -21,13 +21,12 @@
     std::optional<Time> m_keyValidUntil {}; /**< it is not sent to a target later; nullopt: no bound */
     bool m_isLimitChecked = true; /**< false while the check of its organisation's limit is pending */
     bool m_isNested = false;
-    std::uint32_t m_completedCalls = 0; /**< successful earlier calls of its parent request */
-    std::uint16_t m_effectivePriority =
-        0; /**< effective priority; nested calls inherit it from their parent */
+    std::uint32_t m_completedCalls = 0;    /**< successful earlier calls of its parent request */
+    std::uint16_t m_effectivePriority = 0; /**< nested calls inherit it from their parent */
     Time m_receivedAt;
     Time m_chainStartedAt; /**< when the root request of its call chain arrived */
     Time m_deadline;
-    Time m_queueDeadline; /**< end of the time that it may wait for a slot, here and at gates */
+    Time m_queueDeadline;                 /**< end of the time that it may be queued, here and at gates */
     Duration m_maxQueueTimeOfNewChain {}; /**< maximum queueing time at a target where nothing of its chain
                                              has run */
     std::set<InstanceName> m_tried;       /**< excluded from target selection */
--- a/modules/plankledge_policy/relay/entry/RelayEntry.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.cpp
@@ -18,8 +18,9 @@
 constexpr Duration defaultTimeout = std::chrono::seconds (30);
 
 /** Maximum queueing time of a new request, as a fraction of the latency objective of its route; the rest is
-    left for the service time. Gates refuse requests at once whose expected wait is longer. Must not be much
-    smaller, or nested calls, which have no such bound, crowd out new requests at an overloaded service. */
+    left for the service time. Gates refuse requests at once whose expected queueing time is longer. Must not
+   be much smaller, or nested calls, which have no such bound, crowd out new requests at an overloaded
+   service. */
 constexpr double maxQueueTimeShare = 0.4;
 
 /** A nested call is queued until this long before its deadline. */
@@ -105,8 +106,8 @@
     {
         request.m_organisation = organisation->m_name;
 
-        if (const auto holds = m_dependencies.m_keys.remainingValidity (turn.now()); holds.has_value())
-            request.m_keyValidUntil = turn.now() + *holds;
+        if (const auto validity = m_dependencies.m_keys.remainingValidity (turn.now()); validity.has_value())
+            request.m_keyValidUntil = turn.now() + *validity;
     }
 
     request.m_digest = digestOf (request.m_organisation, received.m_host, received.m_content);
@@ -131,7 +132,7 @@
     return request;
 }
 
-/** Marks the request as a nested call of one that runs at the own target. */
+/** Marks the request as a nested call of one that runs at the local target. */
 void RelayEntry::joinChain (Request& request, const TargetGate::Running& running)
 {
     const auto& parent = running.m_request;
@@ -148,14 +149,14 @@
 void RelayEntry::startLimitCheck (Turn& turn, CallId id)
 {
     auto& request = m_requests.at (id);
-    const auto judgement = m_dependencies.m_limits.ask (turn, request.m_organisation, id);
+    const auto decision = m_dependencies.m_limits.check (turn, request.m_organisation, id);
     request.m_isLimitChecked = false;
 
-    if (judgement.has_value())
-        onLimitDecided (turn, id, *judgement);
+    if (decision.has_value())
+        onLimitDecided (turn, id, *decision);
 }
 
-void RelayEntry::onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& judgement)
+void RelayEntry::onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& decision)
 {
     const auto found = m_requests.find (id);
 
@@ -165,14 +166,14 @@
     auto& request = found->second;
     request.m_isLimitChecked = true;
 
-    if (judgement.m_verdict == LimitVerdict::within)
+    if (decision.m_verdict == LimitVerdict::within)
     {
         m_retries.onRequest (request, turn.now());
         return send (turn, id);
     }
 
-    const bool isOverLimit = judgement.m_verdict == LimitVerdict::beyond;
-    giveUp (turn, id, isOverLimit ? Reason::beyondLimit : Reason::limitUnknown, judgement.m_wait);
+    const bool isOverLimit = decision.m_verdict == LimitVerdict::beyond;
+    giveUp (turn, id, isOverLimit ? Reason::beyondLimit : Reason::limitUnknown, decision.m_wait);
 }
 
 /** Keeps in contact with all services that the request and its nested calls reach, since admission depends on
@@ -238,9 +239,9 @@
     sendTo (turn, id, *peer);
 }
 
-const Peer* RelayEntry::selectPeer (Turn& turn, const Request& request, HoldState standing) const
+const Peer* RelayEntry::selectPeer (Turn& turn, const Request& request, HoldState holdState) const
 {
-    if (standing == HoldState::onTrial)
+    if (holdState == HoldState::onTrial)
     {
         const auto* peer = m_dependencies.m_crashes.trialNode (request.m_service, request.m_digest);
         const bool isEligible = peer != nullptr && peer->m_gate.m_isOpen &&
@@ -447,18 +448,18 @@
     }
 }
 
-void RelayEntry::onPeerSilent (Turn& turn, const InstanceName& instance)
+void RelayEntry::onPeerUnresponsive (Turn& turn, const InstanceName& instance)
 {
-    const RelayResult silence { Outcome::unknown, Reason::peerLost, {}, {} };
+    const RelayResult noAnswer { Outcome::unknown, Reason::peerLost, {}, {} };
 
     for (const auto id : requestsAt (instance))
     {
         auto& request = m_requests.at (id);
         ++request.m_attempts;
-        const bool isRetryAllowed = m_retries.mayRetryAttempt (turn, request, silence);
+        const bool isRetryAllowed = m_retries.mayRetryAttempt (turn, request, noAnswer);
         --request.m_attempts;
 
-        // If it can't be retried, it may still be answered by the silent peer.
+        // If it can't be retried, it may still be answered by the unresponsive peer.
         if (! isRetryAllowed)
             continue;
 
@@ -484,7 +485,7 @@
         ++request.m_attempts;
         request.m_mayHaveRun = request.m_mayHaveRun || result.m_outcome == Outcome::unknown;
 
-        // A request on trial is not retried: if its target crashed, the request stays blocked, but the crash
+        // A request on trial is not retried: if its target crashed, the request is still held, but the crash
         // may not have been reported here yet.
         const bool isClear = m_dependencies.m_crashes.holdStatus (request.m_digest, turn.now()).m_holdState ==
                              HoldState::clear;
@@ -503,7 +504,8 @@
         return send (turn, id);
     }
 
-    // The selected target had the shortest expected wait, and all gates block the same crashing requests:
+    // The selected target had the shortest expected queueing time, and all gates withhold the same crashing
+    // requests:
     // other targets would refuse the request as well.
     if (result.m_reason == Reason::overloaded || result.m_reason == Reason::queueFull ||
         result.m_reason == Reason::crashesTargets)
@@ -566,7 +568,7 @@
     const auto& request = node.mapped();
     m_requestsByTicket.erase (request.m_ticket);
     m_queuedRequests.erase (id);
-    m_dependencies.m_limits.forget (id);
+    m_dependencies.m_limits.cancel (id);
     turn.timers().cancel (request.m_deadline, TimerKind::relayDeadline, id);
 
     if (request.m_isNested && result.m_outcome == Outcome::completed &&
@@ -585,9 +587,9 @@
 Duration RelayEntry::suggestRetryAfter (Turn& turn, Duration timeLeft) const
 {
     // Random in the upper half of the interval, so that callers don't all retry at once.
-    const auto longest = std::max (Duration::zero(), timeLeft) / retryAfterDivisor;
-    return longest / 2 + Duration (static_cast<Duration::rep> (
-                             turn.random().below (static_cast<std::uint64_t> (longest.count()) / 2 + 1)));
+    const auto maxDelay = std::max (Duration::zero(), timeLeft) / retryAfterDivisor;
+    return maxDelay / 2 + Duration (static_cast<Duration::rep> (
+                              turn.random().below (static_cast<std::uint64_t> (maxDelay.count()) / 2 + 1)));
 }
 
 void RelayEntry::onPause (Time now) noexcept
--- a/modules/plankledge_policy/relay/entry/RelayEntry.h
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.h
@@ -24,9 +24,9 @@
     The entry node's part of a request: accepts requests from the callers of this instance
     and from its target, forwards each to a target and returns the answer.
 
-    If the gate of the selected target is shut, the request is redirected to another target
+    If the gate of the selected target is closed, the request is redirected to another target
     at no cost. If the gate is overloaded, the request fails, since the selected target had
-    the shortest expected wait. Retries that may reach a target are limited by a
+    the shortest expected queueing time. Retries that may reach a target are limited by a
     RetryPolicy, and are made only if the earlier attempts are known not to have run or the
     route is repeatable. Requests that fail are answered at once.
 
@@ -63,8 +63,9 @@
     /** No connection could be established: these calls were not sent. */
     void onPeerUnreachable (Turn& turn, const InstanceName& instance, const std::vector<CallId>& calls);
 
-    /** The peer stopped answering: retries its requests elsewhere where their routes are repeatable. */
-    void onPeerSilent (Turn& turn, const InstanceName& instance);
+    /** The peer left a hello unanswered: its requests are retried elsewhere if their routes are repeatable.
+     */
+    void onPeerUnresponsive (Turn& turn, const InstanceName& instance);
 
     /** The peer was lost: requests sent there may have run. */
     void onPeerLost (Turn& turn, const InstanceName& instance);
@@ -76,7 +77,7 @@
     void retryQueued (Turn& turn);
 
     /** The check of a request against its organisation's limit has finished. */
-    void onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& judgement);
+    void onLimitDecided (Turn& turn, CallId id, const OrganisationLimits::LimitDecision& decision);
 
     void onPause (Time now) noexcept;
 
@@ -88,7 +89,6 @@
 
 private:
     //==============================================================================
-
     using Request = detail::EntryRequest;
 
     void refuse (Turn& turn, const RelayRequestReceived& received, Reason reason);
@@ -101,7 +101,7 @@
 
     std::vector<CallId> requestsAt (const InstanceName& instance) const;
     void send (Turn& turn, CallId id);
-    const Peer* selectPeer (Turn& turn, const Request& request, HoldState standing) const;
+    const Peer* selectPeer (Turn& turn, const Request& request, HoldState holdState) const;
     void sendTo (Turn& turn, CallId id, const Peer& peer);
     void enqueue (Turn& turn, CallId id);
     void clearAttempt (Request& request);
--- a/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
+++ b/modules/plankledge_policy/relay/entry/RetryPolicy.cpp
@@ -79,9 +79,9 @@
     constexpr std::uint64_t cohorts = 1000;
     const auto& routes = m_dependencies.m_routes.table();
     const auto cohort = static_cast<double> (hashText (rootOf (request.m_content.m_id)) % cohorts) / cohorts;
-    const auto callsDone = static_cast<double> (request.m_completedCalls);
-    const auto lowest = 1.0 / (callsDone + 2.0);
-    const auto rankInPriority = lowest + cohort * (1.0 / (callsDone + 1.0) - lowest);
+    const auto completedCalls = static_cast<double> (request.m_completedCalls);
+    const auto lowest = 1.0 / (completedCalls + 2.0);
+    const auto rankInPriority = lowest + cohort * (1.0 / (completedCalls + 1.0) - lowest);
     return routes.shedRankOfPriority (request.m_effectivePriority) + rankInPriority * routes.shedRankWidth();
 }
 
--- a/modules/plankledge_policy/relay/entry/TargetSelection.cpp
+++ b/modules/plankledge_policy/relay/entry/TargetSelection.cpp
@@ -16,7 +16,7 @@
 constexpr int zonePenaltyDivisor = 5;
 
 /** Weight of the expected queueing time relative to the service time. */
-constexpr int waitWeight = 4;
+constexpr int queueTimeWeight = 4;
 
 /** Service times below the latency objective divided by this are fast enough: a request is not sent to
    another zone for an even faster target. */
@@ -57,10 +57,10 @@
 
 Duration expectedTime (const Peer& peer, const TargetCriteria& criteria) noexcept
 {
-    const auto serviceTime = peer.timeOf (criteria.m_route);
+    const auto serviceTime = peer.routeTimeOf (criteria.m_route);
     const auto boundedTime = std::max (serviceTime, criteria.m_latencyObjective / fastEnoughDivisor);
     return boundedTime + serviceTime / speedPreferenceDivisor +
-           peer.expectedWait (criteria.m_route) * waitWeight;
+           peer.expectedQueueTime (criteria.m_route) * queueTimeWeight;
 }
 
 /** @returns a random target of the own zone that has free slots and rarely fails, or nullptr */
--- a/modules/plankledge_policy/relay/gate/AdmissionLevel.h
+++ b/modules/plankledge_policy/relay/gate/AdmissionLevel.h
@@ -9,8 +9,8 @@
 
 //==============================================================================
 /**
-    Share of the shedding order that a gate admits, counted from the most important
-    requests; 1 admits all.
+    The range of shed ranks that a gate admits: requests whose shed rank is below the level
+    are admitted; 1 admits all.
 
     A feedback controller: at the end of each period the level is scaled by the ratio of the
     slot time available, less that needed to drain the queue, to the slot time requested. A
--- a/modules/plankledge_policy/relay/gate/GateLog.cpp
+++ b/modules/plankledge_policy/relay/gate/GateLog.cpp
@@ -14,7 +14,7 @@
                { "queued", number (occupancy.m_queued) },
                { "limit", number (occupancy.m_limit) },
                { "begun", yesOrNo (call.m_isChainActive) },
-               { "expected_wait_ms", milliseconds (occupancy.m_expectedWait) },
+               { "expected_wait_ms", milliseconds (occupancy.m_expectedQueueTime) },
                { "time_left_ms", milliseconds (call.m_request.m_timeLeft) } } };
 }
 
--- a/modules/plankledge_policy/relay/gate/GateLog.h
+++ b/modules/plankledge_policy/relay/gate/GateLog.h
@@ -14,7 +14,7 @@
     std::size_t m_running = 0;
     std::size_t m_queued = 0;
     std::uint32_t m_limit = 0;
-    Duration m_expectedWait {}; /**< of the refused request */
+    Duration m_expectedQueueTime {}; /**< of the refused request */
 
     auto operator<=> (const GateOccupancy&) const = default;
 };
--- a/modules/plankledge_policy/relay/gate/LocalTarget.cpp
+++ b/modules/plankledge_policy/relay/gate/LocalTarget.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Consecutive announcements that may be missed before the target is considered silent, and a margin for a
+/** Consecutive announcements that may be missed before the target is no longer served, and a margin for a
     late one. */
 constexpr int maxMissedAnnouncements = 2;
 constexpr Duration maxAnnouncementDelay = Milliseconds (1500);
--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -75,7 +75,8 @@
 
     if (const auto reason = refusalReason (turn, id, call); reason != Reason::none)
     {
-        const detail::GateOccupancy occupancy { m_running, m_queue.size(), limit(), expectedWait (id, call) };
+        const detail::GateOccupancy occupancy { m_running, m_queue.size(), limit(),
+                                                expectedQueueTime (id, call) };
         turn.emit (detail::logGateRefused (call, reason, occupancy));
         ++turn.counters().m_refusals[reason];
         countIfLost (turn, call);
@@ -125,7 +126,7 @@
     return std::max (1U, m_target.slots() * maxUsedSlotsPercent / 100);
 }
 
-Duration TargetGate::expectedWait (CallId id, const Call& call) const noexcept
+Duration TargetGate::expectedQueueTime (CallId id, const Call& call) const noexcept
 {
     if (m_running < limit())
         return {};
@@ -154,13 +155,14 @@
     if (! call.isKeyValidAt (turn.now()))
         return Reason::keyUnproven;
 
-    if (isBlockedAsSuspect (call, turn.now()))
+    if (isWithheld (call, turn.now()))
         return Reason::crashesTargets;
 
     if (m_queue.size() >= limit() * maxQueuedRounds)
         return Reason::queueFull;
 
-    return turn.now() + expectedWait (id, call) > call.m_queueDeadline ? Reason::overloaded : Reason::none;
+    return turn.now() + expectedQueueTime (id, call) > call.m_queueDeadline ? Reason::overloaded
+                                                                            : Reason::none;
 }
 
 //==============================================================================
@@ -178,7 +180,7 @@
             continue;
         }
 
-        if (isBlockedAsSuspect (m_calls.at (id), turn.now()))
+        if (isWithheld (m_calls.at (id), turn.now()))
         {
             finish (turn, id, refusal (Reason::crashesTargets));
             continue;
@@ -264,9 +266,9 @@
     case TargetReplyKind::answered:
         return m_hooks.m_crashes.onAnswered (turn, call.m_request.m_digest);
     case TargetReplyKind::broken:
-        return m_hooks.m_crashes.watch().onConnectionBroken (call.m_request.m_digest, turn.now());
+        return m_hooks.m_crashes.detector().onConnectionBroken (call.m_request.m_digest, turn.now());
     case TargetReplyKind::notSent:
-        return m_hooks.m_crashes.watch().onConnectionRefused();
+        return m_hooks.m_crashes.detector().onConnectionRefused();
     case TargetReplyKind::rejected:
         break;
     }
@@ -274,7 +276,7 @@
 
 void TargetGate::updateCrashGuard (const LocalTarget::Change& change, bool wasLeaving, Time now)
 {
-    auto& watch = m_hooks.m_crashes.watch();
+    auto& detector = m_hooks.m_crashes.detector();
 
     if (change == LocalTarget::Change::replaced || change == LocalTarget::Change::restarted)
     {
@@ -283,18 +285,18 @@
         for (const auto& [request, id] : m_runningByRequest)
             running.push_back (m_calls.at (id).m_request.m_digest);
 
-        watch.onNewIncarnation (wasLeaving ? std::vector<ContentDigest>() : running, now);
+        detector.onNewIncarnation (wasLeaving ? std::vector<ContentDigest>() : running, now);
     }
     else if (! m_target.isLeaving())
-        watch.onAnnounced (now);
+        detector.onAnnounced (now);
 
     if (m_target.isLeaving())
-        watch.onLeaving();
+        detector.onLeaving();
 }
 
 /** @returns whether the request is withheld because requests of the same content are suspected of crashing
     targets. Content on trial is allowed to run once at a time. */
-bool TargetGate::isBlockedAsSuspect (const Call& call, Time now) const
+bool TargetGate::isWithheld (const Call& call, Time now) const
 {
     const auto content = call.m_request.m_digest;
 
@@ -330,7 +332,7 @@
         turn.emit (detail::logAnnounced (m_target));
 
     if (change == LocalTarget::Change::restarted)
-        abandonRunning (turn);
+        endRunning (turn);
 
     if (change == LocalTarget::Change::replaced || change == LocalTarget::Change::restarted)
         resetTargetState (turn);
@@ -354,7 +356,7 @@
 
 /** Ends the requests that were running when the target restarted: their outcome is unknown and no answer will
     arrive. */
-void TargetGate::abandonRunning (Turn& turn)
+void TargetGate::endRunning (Turn& turn)
 {
     std::vector<CallId> running;
 
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -99,8 +99,8 @@
 
 private:
     //==============================================================================
-    /** Queue order: active chains first, since work is wasted if they fail; then by urgency; then by the
-        start of the chain for active chains and by arrival for others. */
+    /** Queue order: active chains first, since work is wasted if they fail; then by effective priority; then
+       by the start of the chain for active chains and by arrival for others. */
     using QueueKey = std::tuple<bool, std::uint16_t, Time, CallId>;
 
     using Call = detail::GateCall;
@@ -108,12 +108,12 @@
     Call makeCall (Turn& turn, const GateCaller& caller, RelayRequest request) const;
     static QueueKey queueKeyOf (CallId id, const Call& call) noexcept;
     std::uint32_t limit() const noexcept;
-    Duration expectedWait (CallId id, const Call& call) const noexcept;
+    Duration expectedQueueTime (CallId id, const Call& call) const noexcept;
     Reason refusalReason (Turn& turn, CallId id, const Call& call) const noexcept;
     void dispatchNext (Turn& turn);
     void dispatch (Turn& turn, CallId id);
     void resetTargetState (Turn& turn);
-    void abandonRunning (Turn& turn);
+    void endRunning (Turn& turn);
     void refuseQueue (Turn& turn, Reason reason);
     void finish (Turn& turn, CallId id, RelayResult result);
     void answer (Turn& turn, const GateCaller& caller, const RouteName& route, RelayResult result);
@@ -121,7 +121,7 @@
     void addSample (const Call& call, Time now, bool isFailure);
     void updateCrashGuard (Turn& turn, const Call& call, TargetReplyKind kind);
     void updateCrashGuard (const LocalTarget::Change& change, bool wasLeaving, Time now);
-    bool isBlockedAsSuspect (const Call& call, Time now) const;
+    bool isWithheld (const Call& call, Time now) const;
     void countIfLost (Turn& turn, const Call& call) const;
     void updateOpen (Turn& turn);
 
--- a/modules/plankledge_policy/relay/limits/LimitHomes.cpp
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.cpp
@@ -13,13 +13,13 @@
 /** Key of the rendezvous order of homes, equal on all nodes. */
 const std::uint64_t homeOrderKey = hashText ("homes of limits");
 
-/** Time between two hellos to a home that does not answer. About the time that a process takes to restart. */
-constexpr Duration helloRetryPeriod = Milliseconds (700);
+/** Interval of hellos to a home that doesn't answer; about the duration of a process restart. */
+constexpr Duration helloRetryInterval = Milliseconds (700);
 
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isReachable && peer.m_askedAt.has_value() &&
-           now - *peer.m_askedAt > LimitHomes::replacementDelay;
+    return ! peer.m_isReachable && peer.m_unansweredHelloAt.has_value() &&
+           now - *peer.m_unansweredHelloAt > LimitHomes::replacementDelay;
 }
 
 } // namespace
@@ -57,7 +57,7 @@
     }
 }
 
-std::vector<const Peer*> LimitHomes::due (Time now) const
+std::vector<const Peer*> LimitHomes::peersDueForHello (Time now) const
 {
     std::vector<const Peer*> result;
 
@@ -68,9 +68,10 @@
         if (peer == nullptr || instance == m_peers.self())
             continue;
 
-        const auto since = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt : now - peer->m_heardAt;
+        const auto elapsed =
+            peer->m_unansweredHelloAt.has_value() ? now - peer->m_lastHelloAt : now - peer->m_lastFrameAt;
 
-        if (since >= (peer->m_askedAt.has_value() ? helloRetryPeriod : contactPeriod))
+        if (elapsed >= (peer->m_unansweredHelloAt.has_value() ? helloRetryInterval : contactInterval))
             result.push_back (peer);
     }
 
@@ -81,7 +82,7 @@
 {
     const auto unresponsive = m_unresponsive.find (peer.m_member.m_id.m_instance);
     return peer.m_isReachable &&
-           (unresponsive == m_unresponsive.end() || peer.m_heardAt > unresponsive->second);
+           (unresponsive == m_unresponsive.end() || peer.m_lastFrameAt > unresponsive->second);
 }
 
 const Peer* LimitHomes::homeOf (const OrganisationName& organisation) const
@@ -114,7 +115,7 @@
     std::size_t reaching = 1; // this node itself
 
     for (const auto* peer : m_peers.others())
-        reaching += peer->m_heardAt > Time() && now - peer->m_heardAt <= reachabilityWindow ? 1 : 0;
+        reaching += peer->m_lastFrameAt > Time() && now - peer->m_lastFrameAt <= reachabilityWindow ? 1 : 0;
 
     return static_cast<double> (reaching) / static_cast<double> (m_peers.size());
 }
--- a/modules/plankledge_policy/relay/limits/LimitHomes.h
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.h
@@ -13,7 +13,7 @@
 
     Each node computes the homes from the peers that it knows, by rendezvous hashing: the first few reachable
     nodes are homes, and each organisation is assigned to one of them. When a home leaves, only its own
-    organisations move.
+    organisations are reassigned.
 
     There is no agreement between nodes. Two nodes that know different peers may use different homes for a
     while, and each home then grants only its share of the limit (see OrganisationLimits).
@@ -31,12 +31,12 @@
     /** How long a home may leave hellos unanswered before another one replaces it. */
     static constexpr Duration replacementDelay = PeerTable::helloTimeout;
 
-    /** A home that was silent for this long is sent a hello. */
-    static constexpr Duration contactPeriod = Milliseconds (500);
+    /** A hello is due to a home from which no frame has been received for this long. */
+    static constexpr Duration contactInterval = Milliseconds (500);
 
-    /** A peer counts as reachable if it was heard within this time. It covers the longest time between two
-        hellos and a pause of the process. If it is too long, the two sides of a network partition together
-        exceed the limits. */
+    /** A peer counts as reachable if a frame from it was received within this time. It covers the longest
+       time between two hellos and a pause of the process. If it is too long, the two sides of a network
+       partition together exceed the limits. */
     static constexpr Duration reachabilityWindow = std::chrono::seconds (1);
 
     explicit LimitHomes (const PeerTable& peers);
@@ -44,15 +44,15 @@
     /** Recomputes the homes from the known peers. */
     void update (Time now);
 
-    /** @returns the homes to which a hello should be sent now */
-    std::vector<const Peer*> due (Time now) const;
+    /** @returns the homes to which a hello is due */
+    std::vector<const Peer*> peersDueForHello (Time now) const;
 
     /** @returns the home of the organisation, which is this node or a responsive peer; nullptr if none is
         known */
     const Peer* homeOf (const OrganisationName& organisation) const;
 
     /** Called when a home did not answer a question sent at the given time. The home is not used again until
-        it has been heard after that time. */
+        a frame from it has been received after that time. */
     void markUnresponsive (const InstanceName& instance, Time askedAt) { m_unresponsive[instance] = askedAt; }
 
     /** @returns the fraction of all nodes that can reach this node, itself included, in (0, 1] */
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -54,7 +54,7 @@
 
 //==============================================================================
 std::optional<OrganisationLimits::LimitDecision>
-OrganisationLimits::ask (Turn& turn, const OrganisationName& organisation, CallId request)
+OrganisationLimits::check (Turn& turn, const OrganisationName& organisation, CallId request)
 {
     if (organisation.empty())
         return LimitDecision { LimitVerdict::within, {} };
@@ -80,7 +80,7 @@
     return std::nullopt;
 }
 
-void OrganisationLimits::forget (CallId request)
+void OrganisationLimits::cancel (CallId request)
 {
     const auto found = m_byRequest.find (request);
 
@@ -107,7 +107,7 @@
         return; // already decided locally, or cancelled
 
     const auto question = found->second;
-    forget (question.m_request);
+    cancel (question.m_request);
 
     // A home with an older configuration may not know the organisation yet.
     const auto decision = answer.m_verdict == LimitVerdict::unknown
@@ -202,7 +202,7 @@
 
     for (const auto& question : unanswered)
     {
-        forget (question.m_request);
+        cancel (question.m_request);
 
         if (isHomeUnresponsive)
             m_homes.markUnresponsive (question.m_home, question.m_askedAt);
@@ -293,9 +293,9 @@
     }
 }
 
-std::vector<const Peer*> OrganisationLimits::due (Time now) const
+std::vector<const Peer*> OrganisationLimits::peersDueForHello (Time now) const
 {
-    return areLimitsDeclared() ? m_homes.due (now) : std::vector<const Peer*> {};
+    return areLimitsDeclared() ? m_homes.peersDueForHello (now) : std::vector<const Peer*> {};
 }
 
 void OrganisationLimits::onPause (Time now) noexcept
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.h
@@ -19,9 +19,9 @@
 
     Each request is counted once, by the home of its organisation, before it is forwarded. This costs a round
     trip, but is exact wherever requests arrive, also for organisations whose equal share per node is less
-    than one request per window. A home grants only the share of the limit that belongs to the nodes that it
-    can hear, so that the two sides of a network partition together stay within one limit. A new home does not
-    know what the previous one allowed. It starts with a quarter of the permitted excess per window, which
+    than one request per window. A home grants only the share of the limit that belongs to the nodes that
+    can reach it, so that the two sides of a network partition together stay within one limit. A new home does
+   not know what the previous one allowed. It starts with a quarter of the permitted excess per window, which
     allows for two changes of the home in one window.
 
     A lowered limit is enforced with a delay of one window, so that requests that were within the previous
@@ -48,20 +48,20 @@
 
     using OnDecided = std::function<void (Turn&, CallId request, const LimitDecision&)>;
 
-    /** @param onDecided   receives the decisions that ask() could not return at once */
+    /** @param onDecided   receives the decisions that check() could not return at once */
     OrganisationLimits (const RelaySettings& settings, const RouteSync& routes, PeerTable& peers,
                         OnDecided onDecided);
 
     //==============================================================================
-    /** Asks whether a request is within its organisation's limit.
+    /** Checks whether a request is within its organisation's limit.
 
         @returns the decision, or std::nullopt if it has to be requested from the home; the OnDecided hook
                  then receives it
     */
-    std::optional<LimitDecision> ask (Turn& turn, const OrganisationName& organisation, CallId request);
+    std::optional<LimitDecision> check (Turn& turn, const OrganisationName& organisation, CallId request);
 
     /** Cancels a pending question. */
-    void forget (CallId request);
+    void cancel (CallId request);
 
     void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const LimitQuestion& question);
     void onAnswer (Turn& turn, const InstanceName& from, const LimitAnswer& answer);
@@ -73,8 +73,8 @@
     /** Applies configuration changes and recomputes the homes. Called every 200 ms. */
     void onTick (Turn& turn);
 
-    /** @returns the homes to which a hello should be sent now */
-    std::vector<const Peer*> due (Time now) const;
+    /** @returns the homes to which a hello is due */
+    std::vector<const Peer*> peersDueForHello (Time now) const;
 
     /** Called after this process was paused. Restarts the timeouts of all pending questions, since the pause
         says nothing about the homes. */
--- a/modules/plankledge_policy/relay/peers/PeerContacts.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.cpp
@@ -24,8 +24,8 @@
 /** A peer is idle if no request was sent to it within this time. */
 constexpr Duration recentUseWindow = std::chrono::seconds (1);
 
-/** A hello is due to a peer with requests in flight that has been quiet for this long. */
-constexpr Duration inFlightQuietLimit = Milliseconds (200);
+/** A hello is due to a peer with requests in flight from which no frame has been received for this long. */
+constexpr Duration livenessCheckDelay = Milliseconds (200);
 
 /** Upper bound of the interval at which calls are requested from a peer; they rarely change. */
 constexpr Duration maxCallsInterval = std::chrono::seconds (2);
@@ -43,7 +43,8 @@
 
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isReachable && peer.m_askedAt.has_value() && now - *peer.m_askedAt > subsetRetention;
+    return ! peer.m_isReachable && peer.m_unansweredHelloAt.has_value() &&
+           now - *peer.m_unansweredHelloAt > subsetRetention;
 }
 
 } // namespace
@@ -56,7 +57,7 @@
 {
 }
 
-bool PeerContacts::need (const ServiceName& service, Time now)
+bool PeerContacts::trackService (const ServiceName& service, Time now)
 {
     const auto [entry, isNew] = m_neededAt.try_emplace (service, now);
     entry->second = now;
@@ -112,7 +113,7 @@
     return subset;
 }
 
-std::vector<Peer*> PeerContacts::due (const PeerTable& peers, Time now)
+std::vector<Peer*> PeerContacts::peersDueForHello (const PeerTable& peers, Time now)
 {
     std::erase_if (m_neededAt,
                    [now] (const auto& entry) { return now - entry.second > unusedServiceLifetime; });
@@ -120,7 +121,7 @@
 
     for (const auto& [service, neededAt] : m_neededAt)
         for (auto* peer : ofService (service, peers, now))
-            if (isDue (*peer, m_zone, now))
+            if (isHelloDue (*peer, m_zone, now))
                 result.push_back (peer);
 
     return result;
@@ -136,18 +137,18 @@
     return now - peer.m_callsAt >= std::min (period, maxCallsInterval);
 }
 
-bool PeerContacts::isQuietWithRequests (const Peer& peer, Time now) noexcept
+bool PeerContacts::needsLivenessCheck (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_askedAt.has_value() && peer.m_requestsInFlight > 0 &&
-           now - peer.m_heardAt >= inFlightQuietLimit;
+    return ! peer.m_unansweredHelloAt.has_value() && peer.m_requestsInFlight > 0 &&
+           now - peer.m_lastFrameAt >= livenessCheckDelay;
 }
 
-bool PeerContacts::isDue (const Peer& peer, const ZoneName& zone, Time now) noexcept
+bool PeerContacts::isHelloDue (const Peer& peer, const ZoneName& zone, Time now) noexcept
 {
-    if (peer.m_askedAt.has_value())
-        return now - peer.m_lastAskedAt >= helloRetryInterval;
+    if (peer.m_unansweredHelloAt.has_value())
+        return now - peer.m_lastHelloAt >= helloRetryInterval;
 
-    if (isQuietWithRequests (peer, now))
+    if (needsLivenessCheck (peer, now))
         return true;
 
     const bool isIdle = peer.m_member.m_zone != zone && now - peer.m_sentAt >= recentUseWindow;
--- a/modules/plankledge_policy/relay/peers/PeerContacts.h
+++ b/modules/plankledge_policy/relay/peers/PeerContacts.h
@@ -36,11 +36,11 @@
 
     explicit PeerContacts (const Member& self);
 
-    /** Records that a request needs the service.
+    /** Records that a request needs the service, so that contact with its peers is kept.
 
-        @returns true if the service was not needed before
+        @returns true if the service was not tracked before
     */
-    bool need (const ServiceName& service, Time now);
+    bool trackService (const ServiceName& service, Time now);
 
     /** @returns the subset of the service, including unreachable peers, in order of preference */
     std::vector<Peer*> ofService (const ServiceName& service, const PeerTable& peers, Time now) const;
@@ -49,15 +49,16 @@
 
         @returns the peers in all subsets to which a hello is due
     */
-    std::vector<Peer*> due (const PeerTable& peers, Time now);
+    std::vector<Peer*> peersDueForHello (const PeerTable& peers, Time now);
 
     /** @param zone   the zone of this node; idle peers of other zones are contacted less often
         @returns true if a hello to the peer is due
     */
-    static bool isDue (const Peer& peer, const ZoneName& zone, Time now) noexcept;
+    static bool isHelloDue (const Peer& peer, const ZoneName& zone, Time now) noexcept;
 
-    /** @returns true if requests are in flight to a peer that has been quiet and has no unanswered hello */
-    static bool isQuietWithRequests (const Peer& peer, Time now) noexcept;
+    /** @returns true if requests are in flight to a peer, no frame from it has been received recently, and no
+        hello to it is unanswered */
+    static bool needsLivenessCheck (const Peer& peer, Time now) noexcept;
 
     /** @returns true if the calls seen at the peer are due to be requested */
     static bool areCallsDue (const Peer& peer, Time now) noexcept;
--- a/modules/plankledge_policy/relay/peers/PeerTable.cpp
+++ b/modules/plankledge_policy/relay/peers/PeerTable.cpp
@@ -5,20 +5,20 @@
 namespace plankledge
 {
 
-Duration Peer::timeOf (const RouteName& route) const noexcept
+Duration Peer::routeTimeOf (const RouteName& route) const noexcept
 {
-    const auto found = m_times.find (route);
-    return found == m_times.end() ? Duration::zero() : found->second;
+    const auto found = m_routeTimes.find (route);
+    return found == m_routeTimes.end() ? Duration::zero() : found->second;
 }
 
-Duration Peer::expectedWait (const RouteName& route) const noexcept
+Duration Peer::expectedQueueTime (const RouteName& route) const noexcept
 {
     const auto limit = std::max<std::uint32_t> (1, m_gate.m_limit);
 
     if (load() < limit)
         return {};
 
-    return (m_gate.m_queuedWork + m_workSinceStatus + timeOf (route)) / limit;
+    return (m_gate.m_queuedWork + m_workSinceStatus + routeTimeOf (route)) / limit;
 }
 
 //==============================================================================
@@ -55,14 +55,14 @@
 
 } // namespace
 
-bool PeerTable::learn (const Member& member, Source source)
+bool PeerTable::addOrUpdate (const Member& member, Source source)
 {
     const auto& instance = member.m_id.m_instance;
 
     if (instance == m_self)
         return false;
 
-    // An address belongs to one node at a time: the latest to be learned replaces an unreachable one.
+    // An address belongs to one node at a time: the latest to be added replaces an unreachable one.
     const auto erased = std::erase_if (m_peers, [&] (const auto& entry) {
         return entry.first != instance && entry.first != m_self &&
                entry.second.m_member.m_endpoint == member.m_endpoint && ! entry.second.m_isReachable;
@@ -88,7 +88,7 @@
     return ! isSameIncarnation;
 }
 
-void PeerTable::forget (const InstanceName& instance)
+void PeerTable::removeIfUnreachable (const InstanceName& instance)
 {
     const auto found = m_peers.find (instance);
 
@@ -107,8 +107,8 @@
     if (peer == nullptr || peer->m_member.m_id != from)
         return false;
 
-    peer->m_heardAt = now;
-    peer->m_askedAt.reset();
+    peer->m_lastFrameAt = now;
+    peer->m_unansweredHelloAt.reset();
     return ! std::exchange (peer->m_isReachable, true);
 }
 
@@ -133,9 +133,9 @@
     if (peer == nullptr)
         return;
 
-    // Only requests that find no free slot add to the wait of later ones.
+    // Only requests that find no free slot add to the queueing time of later ones.
     if (peer->load() >= peer->m_gate.m_limit)
-        peer->m_workSinceStatus += peer->timeOf (route);
+        peer->m_workSinceStatus += peer->routeTimeOf (route);
 
     peer->m_sentAt = now;
     ++peer->m_sentSinceStatus;
@@ -154,7 +154,7 @@
 void PeerTable::onRouteTime (const InstanceName& instance, const RouteTime& time)
 {
     if (auto* peer = find (instance))
-        peer->m_times[time.m_route] = time.m_time;
+        peer->m_routeTimes[time.m_route] = time.m_time;
 }
 
 void PeerTable::onRouteTimes (const InstanceName& instance, const std::vector<RouteTime>& times)
@@ -164,10 +164,10 @@
     if (peer == nullptr)
         return;
 
-    peer->m_times.clear();
+    peer->m_routeTimes.clear();
 
     for (const auto& time : times)
-        peer->m_times[time.m_route] = time.m_time;
+        peer->m_routeTimes[time.m_route] = time.m_time;
 }
 
 bool PeerTable::onUnreachable (const InstanceName& instance)
@@ -200,10 +200,10 @@
     if (peer == nullptr)
         return;
 
-    peer->m_lastAskedAt = now;
+    peer->m_lastHelloAt = now;
 
-    if (! peer->m_askedAt.has_value())
-        peer->m_askedAt = now;
+    if (! peer->m_unansweredHelloAt.has_value())
+        peer->m_unansweredHelloAt = now;
 }
 
 bool PeerTable::onInboundLink (const InstanceName& instance, LinkId link)
@@ -223,10 +223,10 @@
 {
     for (auto& [instance, peer] : m_peers)
     {
-        peer.m_heardAt = std::max (peer.m_heardAt, now);
+        peer.m_lastFrameAt = std::max (peer.m_lastFrameAt, now);
 
-        if (peer.m_askedAt.has_value())
-            peer.m_askedAt = now;
+        if (peer.m_unansweredHelloAt.has_value())
+            peer.m_unansweredHelloAt = now;
     }
 }
 
@@ -239,9 +239,10 @@
         if (instance == m_self || ! peer.m_isReachable)
             continue;
 
-        const bool isUnanswered = peer.m_askedAt.has_value() && now - *peer.m_askedAt > helloTimeout;
+        const bool isUnanswered =
+            peer.m_unansweredHelloAt.has_value() && now - *peer.m_unansweredHelloAt > helloTimeout;
 
-        if (! isUnanswered && now - peer.m_heardAt <= inactivityTimeout)
+        if (! isUnanswered && now - peer.m_lastFrameAt <= inactivityTimeout)
             continue;
 
         peer.m_isReachable = false;
@@ -278,13 +279,13 @@
 const std::vector<Peer*>& PeerTable::ofService (const ServiceName& service) const
 {
     const auto found = m_byService.find (service);
-    return found == m_byService.end() ? m_none : found->second;
+    return found == m_byService.end() ? m_noPeers : found->second;
 }
 
 const std::vector<Peer*>& PeerTable::ofZone (const ZoneName& zone) const
 {
     const auto found = m_byZone.find (zone);
-    return found == m_byZone.end() ? m_none : found->second;
+    return found == m_byZone.end() ? m_noPeers : found->second;
 }
 
 std::vector<const Peer*> PeerTable::others() const
--- a/modules/plankledge_policy/relay/peers/PeerTable.h
+++ b/modules/plankledge_policy/relay/peers/PeerTable.h
@@ -17,31 +17,32 @@
 struct Peer
 {
     Member m_member;
-    GateStatus m_gate;                     /**< as last received */
-    std::uint32_t m_sentSinceStatus = 0;   /**< requests sent to it since m_gate was received */
-    std::uint32_t m_requestsInFlight = 0;  /**< requests sent to it that have not ended */
-    Duration m_workSinceStatus {};         /**< slot time expected for requests queued since then */
-    std::map<RouteName, Duration> m_times; /**< request duration per route at its target, as last received */
-    Time m_gateUpdatedAt;                  /**< when m_gate was received */
-    Time m_callsAt;                        /**< when the calls seen at it were last received */
-    unsigned m_callsUpdates = 0;           /**< how often calls were received */
-    Time m_sentAt;                         /**< when a request was last sent to it */
-    Time m_heardAt;                        /**< when any frame from it was last received */
-    bool m_isReachable = false;            /**< it is considered reachable */
-    std::optional<Time> m_askedAt;         /**< when the oldest unanswered hello was sent; nullopt: none */
-    Time m_lastAskedAt;                    /**< when the latest hello was sent */
-    LinkId m_inboundLink = 0;              /**< the connection it opened to this node; 0: none */
+    GateStatus m_gate;                    /**< as last received */
+    std::uint32_t m_sentSinceStatus = 0;  /**< requests sent to it since m_gate was received */
+    std::uint32_t m_requestsInFlight = 0; /**< requests sent to it that have not ended */
+    Duration m_workSinceStatus {};        /**< slot time expected for requests queued since then */
+    std::map<RouteName, Duration>
+        m_routeTimes;            /**< request duration per route at its target, as last received */
+    Time m_gateUpdatedAt;        /**< when m_gate was received */
+    Time m_callsAt;              /**< when the calls seen at it were last received */
+    unsigned m_callsUpdates = 0; /**< how often calls were received */
+    Time m_sentAt;               /**< when a request was last sent to it */
+    Time m_lastFrameAt;          /**< when any frame from it was last received */
+    bool m_isReachable = false;
+    std::optional<Time> m_unansweredHelloAt; /**< when the oldest unanswered hello was sent; nullopt: none */
+    Time m_lastHelloAt;                      /**< when the latest hello was sent */
+    LinkId m_inboundLink = 0;                /**< the connection it opened to this node; 0: none */
     LinkDelayEstimator m_delayEstimator;
     StoreView m_store; /**< its view of the store, as last received */
 
-    /** @returns the estimated number of requests that run or wait at its gate */
+    /** @returns the estimated number of requests that are running or queued at its gate */
     std::uint32_t load() const noexcept { return m_gate.m_inGate + m_sentSinceStatus; }
 
     /** @returns how long a request of the route takes at its target, or zero if unknown */
-    Duration timeOf (const RouteName& route) const noexcept;
+    Duration routeTimeOf (const RouteName& route) const noexcept;
 
-    /** @returns how long a request sent now is expected to wait for a slot at its gate */
-    Duration expectedWait (const RouteName& route) const noexcept;
+    /** @returns how long a request sent now is expected to be queued at its gate */
+    Duration expectedQueueTime (const RouteName& route) const noexcept;
 };
 
 //==============================================================================
@@ -76,10 +77,10 @@
 
         @returns true if the node is new, or has another incarnation or address
     */
-    bool learn (const Member& member, Source source);
+    bool addOrUpdate (const Member& member, Source source);
 
     /** Removes a node that the store no longer lists, unless it is reachable. */
-    void forget (const InstanceName& instance);
+    void removeIfUnreachable (const InstanceName& instance);
 
     /** Must be called when a frame from the peer has been received.
 
@@ -123,7 +124,7 @@
     /** Must be called when a connection has been closed. */
     void onLinkClosed (LinkId link);
 
-    /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
+    /** Must be called when this process resumes from a pause; restarts the timeouts of all peers. */
     void onPause (Time now) noexcept;
 
     /** Marks the peer as unreachable.
@@ -164,7 +165,7 @@
     std::map<InstanceName, Peer> m_peers;
     std::map<ServiceName, std::vector<Peer*>> m_byService;
     std::map<ZoneName, std::vector<Peer*>> m_byZone;
-    std::vector<Peer*> m_none;
+    std::vector<Peer*> m_noPeers;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/routes/CallGraph.cpp
+++ b/modules/plankledge_policy/relay/routes/CallGraph.cpp
@@ -70,7 +70,7 @@
     mergeEdges();
 }
 
-void CallGraph::forget (const InstanceName& peer)
+void CallGraph::removePeer (const InstanceName& peer)
 {
     if (m_peers.erase (peer) > 0)
         mergeEdges();
--- a/modules/plankledge_policy/relay/routes/CallGraph.h
+++ b/modules/plankledge_policy/relay/routes/CallGraph.h
@@ -39,7 +39,7 @@
     void setPeerEdges (const InstanceName& peer, const std::vector<CallEdge>& edges);
 
     /** Removes the edges reported by a peer. */
-    void forget (const InstanceName& peer);
+    void removePeer (const InstanceName& peer);
 
     /** @returns the direct and transitive calls per request of the route, without the request itself */
     const Demand& demandOf (const RouteName& route) { return totalsOf (route).m_demand; }
--- a/modules/plankledge_policy/relay/routes/RouteTable.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteTable.cpp
@@ -30,8 +30,8 @@
         {
             addPriorities (route);
 
-            for (const auto& part : route.m_services)
-                m_services.push_back (part.m_service);
+            for (const auto& weighted : route.m_services)
+                m_services.push_back (weighted.m_service);
         }
     }
 
@@ -85,8 +85,8 @@
 
 double RouteTable::shedRankOfPriority (std::uint32_t priority) const noexcept
 {
-    const auto place = std::lower_bound (m_priorities.begin(), m_priorities.end(), priority);
-    return static_cast<double> (place - m_priorities.begin()) * shedRankWidth();
+    const auto found = std::lower_bound (m_priorities.begin(), m_priorities.end(), priority);
+    return static_cast<double> (found - m_priorities.begin()) * shedRankWidth();
 }
 
 double RouteTable::shedRankWidth() const noexcept
--- a/modules/plankledge_policy/relay/routes/RouteTable.h
+++ b/modules/plankledge_policy/relay/routes/RouteTable.h
@@ -29,7 +29,7 @@
 {
     RouteName m_name;
     bool m_isRepeatable = true;
-    std::uint32_t m_priority = 0; /**< 0 is the most urgent: refused last */
+    std::uint32_t m_priority = 0; /**< 0 is the highest and is refused last */
     Duration m_timeout {};        /**< every request is answered within this time, if need be with an error */
     Duration m_latencyObjective {};  /**< desired time to the answer */
     std::uint32_t m_maxAttempts = 1; /**< number of targets that one request may be sent to */
@@ -74,11 +74,8 @@
     */
     std::uint32_t priorityOf (const Route& route, const Organisation* organisation) const noexcept;
 
-    /** @returns the most urgent priority in use; 0 if there are no routes */
-    std::uint32_t mostUrgentPriority() const noexcept
-    {
-        return m_priorities.empty() ? 0 : m_priorities.front();
-    }
+    /** @returns the highest priority in use; 0 if there are no routes */
+    std::uint32_t highestPriority() const noexcept { return m_priorities.empty() ? 0 : m_priorities.front(); }
 
     /** @returns the start of the priority's interval in [0, 1); the priorities in use divide it equally */
     double shedRankOfPriority (std::uint32_t priority) const noexcept;
--- a/modules/plankledge_policy/relay/store/MemberDirectory.cpp
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.cpp
@@ -32,7 +32,7 @@
         m_entries[instance] = { std::move (member), m_end };
 }
 
-MembersTold MemberDirectory::since (const StorePlace& have) const
+MembersTold MemberDirectory::changesSince (const StorePlace& have) const
 {
     MembersTold changes;
     changes.m_end = m_end;
--- a/modules/plankledge_policy/relay/store/MemberDirectory.h
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.h
@@ -31,7 +31,7 @@
     StorePlace end() const noexcept { return m_end; }
 
     /** @returns the changes since the given position */
-    MembersTold since (const StorePlace& have) const;
+    MembersTold changesSince (const StorePlace& have) const;
 
     /** @returns true if the store has a record of this instance with the same service, zone and address,
         of any incarnation */
--- a/modules/plankledge_policy/relay/store/StoreFollowers.cpp
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.cpp
@@ -19,8 +19,8 @@
 /** @returns true if hellos to the peer have been unanswered for longer than replacementDelay */
 bool isUnreachable (const Peer& peer, Time now) noexcept
 {
-    return ! peer.m_isReachable && peer.m_askedAt.has_value() &&
-           now - *peer.m_askedAt > StoreFollowers::replacementDelay;
+    return ! peer.m_isReachable && peer.m_unansweredHelloAt.has_value() &&
+           now - *peer.m_unansweredHelloAt > StoreFollowers::replacementDelay;
 }
 
 } // namespace
@@ -33,7 +33,7 @@
 {
 }
 
-StoreFollowers::Chosen StoreFollowers::choose (const PeerTable& peers, bool isReached, Time now) const
+StoreFollowers::Selection StoreFollowers::select (const PeerTable& peers, bool isReached, Time now) const
 {
     std::vector<Ranked> ranked;
 
@@ -43,7 +43,7 @@
     std::sort (ranked.begin(), ranked.end(),
                [] (const Ranked& one, const Ranked& other) { return one.m_weight > other.m_weight; });
 
-    Chosen chosen;
+    Selection selection;
     std::size_t readerCount = 0;    // selected nodes known to reach the store
     std::size_t reachableCount = 0; // selected nodes that are reachable
 
@@ -56,12 +56,12 @@
 
         if (isSelf)
         {
-            chosen.m_isSelf = true;
-            chosen.m_isFirst = readerCount == 0;
+            selection.m_isSelf = true;
+            selection.m_isFirst = readerCount == 0;
         }
         else
         {
-            chosen.m_others.push_back (peer->m_member.m_id.m_instance);
+            selection.m_others.push_back (peer->m_member.m_id.m_instance);
         }
 
         if (! isSelf && isUnreachable (*peer, now))
@@ -71,7 +71,7 @@
         readerCount += (isSelf ? isReached : peer->m_store.m_isReached) ? 1 : 0;
     }
 
-    return chosen;
+    return selection;
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/store/StoreFollowers.h
+++ b/modules/plankledge_policy/relay/store/StoreFollowers.h
@@ -31,7 +31,7 @@
         for a process restart. */
     static constexpr Duration replacementDelay = std::chrono::seconds (2);
 
-    struct Chosen
+    struct Selection
     {
         bool m_isSelf = false;
         bool m_isFirst = false; /**< this node is selected, and no node before it reaches the store */
@@ -44,7 +44,7 @@
 
         @param isReached   true if the store answers this node
     */
-    Chosen choose (const PeerTable& peers, bool isReached, Time now) const;
+    Selection select (const PeerTable& peers, bool isReached, Time now) const;
 
 private:
     //==============================================================================
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -87,13 +87,14 @@
 {
     listMembersWhenDue (turn);
     m_isReached = ! m_storeLostSince.has_value() || turn.now() - *m_storeLostSince <= storeTimeout();
-    m_chosen = m_followers.choose (m_peers, m_isReached, turn.now());
+    m_selection = m_followers.select (m_peers, m_isReached, turn.now());
     updateLastSeenTimes (turn.now());
 
     // Until the members are known, a node would always select itself.
-    const bool isChosen = m_chosen.m_isSelf && m_directory.end().isKnown();
+    const bool isSelected = m_selection.m_isSelf && m_directory.end().isKnown();
     const bool isAlone = isIsolated (turn.now());
-    setFollowing (turn, isChosen || isAlone, isAlone || m_chosen.m_isFirst, isChosen ? "chosen" : "alone");
+    setFollowing (turn, isSelected || isAlone, isAlone || m_selection.m_isFirst,
+                  isSelected ? "chosen" : "alone");
     readRoutesOnce (turn, areRoutesKnown);
     rewriteWhenDue (turn);
     withdrawUnreachableNodes (turn);
@@ -105,11 +106,11 @@
 }
 
 /** @returns the selected followers that are still known */
-std::vector<const Peer*> StoreSync::chosenPeers() const
+std::vector<const Peer*> StoreSync::selectedPeers() const
 {
     std::vector<const Peer*> result;
 
-    for (const auto& instance : m_chosen.m_others)
+    for (const auto& instance : m_selection.m_others)
         if (const auto* peer = m_peers.find (instance))
             result.push_back (peer);
 
@@ -121,7 +122,7 @@
     if (isPrimaryFollower())
         return nullptr;
 
-    for (const auto* peer : chosenPeers())
+    for (const auto* peer : selectedPeers())
         if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isReached)
             return peer;
 
@@ -133,7 +134,7 @@
     if (m_isFollowing && m_isReached)
         m_readerSeenAt = now;
 
-    for (const auto* peer : chosenPeers())
+    for (const auto* peer : selectedPeers())
     {
         if (! peer->m_isReachable || ! peer->m_store.m_isFollowing)
             continue;
@@ -233,17 +234,18 @@
                             MembersPull { m_directory.end() } });
 }
 
-std::vector<const Peer*> StoreSync::due (Time now, bool areRoutesKnown) const
+std::vector<const Peer*> StoreSync::peersDueForHello (Time now, bool areRoutesKnown) const
 {
     std::vector<const Peer*> result;
     const auto retryInterval = areRoutesKnown ? helloRetryInterval : helloRetryIntervalWithoutRoutes;
 
-    for (const auto* peer : chosenPeers())
+    for (const auto* peer : selectedPeers())
     {
-        const bool isDue = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt >= retryInterval
-                                                       : now - peer->m_gateUpdatedAt >= followerHelloInterval;
+        const bool isHelloDue = peer->m_unansweredHelloAt.has_value()
+                                    ? now - peer->m_lastHelloAt >= retryInterval
+                                    : now - peer->m_gateUpdatedAt >= followerHelloInterval;
 
-        if (isDue)
+        if (isHelloDue)
             result.push_back (peer);
     }
 
@@ -313,7 +315,7 @@
 /** Otherwise nodes that ended without withdrawing their records would stay in the store for ever. */
 void StoreSync::withdrawUnreachableNodes (Turn& turn)
 {
-    if (! m_chosen.m_isFirst || ! m_isFollowing || ! m_isReached)
+    if (! m_selection.m_isFirst || ! m_isFollowing || ! m_isReached)
         return m_unreachableSince.clear();
 
     for (const auto* peer : m_peers.ofZone (m_self.m_zone))
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -29,7 +29,7 @@
 {
 public:
     //==============================================================================
-    /** A node that has not heard from any follower for this long follows the store itself. Also the default
+    /** A node that has not reached any follower for this long follows the store itself. Also the default
         time for which the store may fail to answer before it counts as unreachable. */
     static constexpr Duration responseTimeout = Milliseconds (1000);
 
@@ -62,7 +62,7 @@
     /** @returns the other node that this node takes for the primary follower, or nullptr if there is none */
     const Peer* primaryFollower() const;
 
-    /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
+    /** Must be called when this process resumes from a pause, which doesn't count towards any timeout. */
     void onPause (Time now);
 
     /** Applies records read from the store.
@@ -84,18 +84,18 @@
     void onPeerView (Turn& turn, const Peer& peer);
 
     /** @returns the followers to which a hello is due */
-    std::vector<const Peer*> due (Time now, bool areRoutesKnown) const;
+    std::vector<const Peer*> peersDueForHello (Time now, bool areRoutesKnown) const;
 
     StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isReached }; }
 
     /** @returns the changes since the given position */
-    MembersTold since (const StorePlace& have) const { return m_directory.since (have); }
+    MembersTold changesSince (const StorePlace& have) const { return m_directory.changesSince (have); }
 
 private:
     //==============================================================================
     void setFollowing (Turn& turn, bool isFollowing, bool isPrimary, const char* reason);
     Duration storeTimeout() const noexcept;
-    std::vector<const Peer*> chosenPeers() const;
+    std::vector<const Peer*> selectedPeers() const;
     void updateLastSeenTimes (Time now);
     void readRoutesOnce (Turn& turn, bool areRoutesKnown);
     void listMembersWhenDue (Turn& turn);
@@ -109,7 +109,7 @@
     const Member m_self;
     PeerTable& m_peers;
     StoreFollowers m_followers;
-    StoreFollowers::Chosen m_chosen;
+    StoreFollowers::Selection m_selection;
     MemberDirectory m_directory;
     std::map<InstanceName, Time>
         m_unreachableSince;               /**< nodes of this zone, while this node is its first follower */
--- a/tests/relay/access/AccessCheck_test.cpp
+++ b/tests/relay/access/AccessCheck_test.cpp
@@ -115,7 +115,7 @@
 
     CHECK (table.priorityOf (search, council) < table.priorityOf (lodge, surveyors));
     CHECK (table.priorityOf (lodge, council) < table.priorityOf (search, council));
-    CHECK (table.mostUrgentPriority() == table.priorityOf (lodge, council));
+    CHECK (table.highestPriority() == table.priorityOf (lodge, council));
     CHECK (table.shedRankOfPriority (table.priorityOf (search, surveyors)) == doctest::Approx (0.75));
 
     const RouteTable without (1, hosts);
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashLedger_test.cpp
@@ -28,15 +28,15 @@
     return { { { "node", 1 }, number }, {}, true, {} };
 }
 
-/** @returns a ledger with so many crashes of targets that ran the crashing request, one second apart */
-CrashLedger ledgerAfter (std::uint64_t crashes)
+/** @returns a history with so many crashes of targets that ran the crashing request, one second apart */
+CrashLedger historyAfter (std::uint64_t crashes)
 {
-    CrashLedger ledger;
+    CrashLedger history;
 
     for (std::uint64_t number = 0; number < crashes; ++number)
-        ledger.learn (crash (number, { crashing }), start + seconds (number));
+        history.add (crash (number, { crashing }), start + seconds (number));
 
-    return ledger;
+    return history;
 }
 
 } // namespace
@@ -44,51 +44,51 @@
 //==============================================================================
 TEST_CASE ("a request is held after the third crash, and one that ran beside it in only two of them is not")
 {
-    CrashLedger ledger;
-    ledger.learn (crash (1, { crashing, unrelated }), start);
-    ledger.learn (crash (2, { crashing, unrelated }), start);
-    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::clear);
-    ledger.learn (crash (3, { crashing }), start);
-    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::held);
-    CHECK (ledger.holdStatus (unrelated, start).m_holdState == HoldState::clear);
-    CHECK (ledger.held() == 1);
+    CrashLedger history;
+    history.add (crash (1, { crashing, unrelated }), start);
+    history.add (crash (2, { crashing, unrelated }), start);
+    CHECK (history.holdStatus (crashing, start).m_holdState == HoldState::clear);
+    history.add (crash (3, { crashing }), start);
+    CHECK (history.holdStatus (crashing, start).m_holdState == HoldState::held);
+    CHECK (history.holdStatus (unrelated, start).m_holdState == HoldState::clear);
+    CHECK (history.held() == 1);
 }
 
 TEST_CASE ("a crash counts once, however often it is reported")
 {
-    CrashLedger ledger;
-    CHECK (ledger.learn (crash (1, { crashing }), start));
-    CHECK (! ledger.learn (crash (1, { crashing }), start));
-    CHECK (ledger.learn (crash (1, { crashing, unrelated }), start));
-    CHECK (ledger.holdStatus (crashing, start).m_holdState == HoldState::clear);
-    CHECK (ledger.isSuspect (unrelated));
+    CrashLedger history;
+    CHECK (history.add (crash (1, { crashing }), start));
+    CHECK (! history.add (crash (1, { crashing }), start));
+    CHECK (history.add (crash (1, { crashing, unrelated }), start));
+    CHECK (history.holdStatus (crashing, start).m_holdState == HoldState::clear);
+    CHECK (history.isSuspect (unrelated));
 }
 
 TEST_CASE ("a withdrawn crash has no suspects, even if its report arrives after the withdrawal")
 {
-    auto ledger = ledgerAfter (3);
-    CHECK (ledger.learn (withdrawal (1), start + seconds (3)));
-    CHECK (ledger.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
-    CHECK (! ledger.learn (crash (1, { crashing }), start + seconds (3)));
-    CHECK (ledger.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
+    auto history = historyAfter (3);
+    CHECK (history.add (withdrawal (1), start + seconds (3)));
+    CHECK (history.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
+    CHECK (! history.add (crash (1, { crashing }), start + seconds (3)));
+    CHECK (history.holdStatus (crashing, start + seconds (3)).m_holdState == HoldState::clear);
 }
 
 TEST_CASE ("completing a request clears it of earlier crashes, not of later ones")
 {
-    auto ledger = ledgerAfter (3);
+    auto history = historyAfter (3);
     const auto now = start + seconds (10);
-    CHECK (ledger.learn (CrashAcquittal { crashing, {} }, now));
-    CHECK (ledger.holdStatus (crashing, now).m_holdState == HoldState::clear);
-    CHECK (! ledger.isSuspect (crashing));
+    CHECK (history.add (CrashAcquittal { crashing, {} }, now));
+    CHECK (history.holdStatus (crashing, now).m_holdState == HoldState::clear);
+    CHECK (! history.isSuspect (crashing));
 
     // A delayed report of a crash before the acquittal.
-    ledger.learn (crash (20, { crashing }, seconds (5)), now);
-    CHECK (! ledger.isSuspect (crashing));
+    history.add (crash (20, { crashing }, seconds (5)), now);
+    CHECK (! history.isSuspect (crashing));
 
     for (std::uint64_t number = 30; number < 33; ++number)
-        ledger.learn (crash (number, { crashing }), now + seconds (1));
+        history.add (crash (number, { crashing }), now + seconds (1));
 
-    CHECK (ledger.holdStatus (crashing, now + seconds (1)).m_holdState == HoldState::held);
+    CHECK (history.holdStatus (crashing, now + seconds (1)).m_holdState == HoldState::held);
 }
 
 TEST_CASE ("a hold ends in a trial, and each further crash doubles it up to the limit")
@@ -103,18 +103,18 @@
                              Row { 7, minutes (60) }, Row { 40, minutes (60) } })
     {
         CAPTURE (row.m_crashes);
-        const auto ledger = ledgerAfter (row.m_crashes);
+        const auto history = historyAfter (row.m_crashes);
         const auto newest = start + seconds (row.m_crashes - 1);
         const auto last = newest + row.m_hold;
-        CHECK (ledger.holdStatus (crashing, newest) == HoldStatus { HoldState::held, row.m_hold });
-        CHECK (ledger.holdStatus (crashing, last - Duration (1)).m_holdState == HoldState::held);
-        CHECK (ledger.holdStatus (crashing, last).m_holdState == HoldState::onTrial);
+        CHECK (history.holdStatus (crashing, newest) == HoldStatus { HoldState::held, row.m_hold });
+        CHECK (history.holdStatus (crashing, last - Duration (1)).m_holdState == HoldState::held);
+        CHECK (history.holdStatus (crashing, last).m_holdState == HoldState::onTrial);
     }
 }
 
 TEST_CASE ("the number of suspects is limited, and the oldest crashes are removed first")
 {
-    CrashLedger ledger;
+    CrashLedger history;
     constexpr std::uint64_t suspectsPerCrash = 100;
     constexpr std::uint64_t crashes = 400;
 
@@ -125,18 +125,18 @@
         for (std::uint64_t index = 0; index < suspectsPerCrash; ++index)
             suspects.push_back (1000 + number * suspectsPerCrash + index);
 
-        ledger.learn (crash (number, suspects), start + seconds (number));
+        history.add (crash (number, suspects), start + seconds (number));
     }
 
-    CHECK (ledger.crashes() == CrashLedger::maxSuspects / suspectsPerCrash);
-    CHECK (! ledger.isSuspect (1000));
-    CHECK (ledger.isSuspect (1000 + crashes * suspectsPerCrash - 1));
-    ledger.removeExpired (start + CrashLedger::retentionPeriod + seconds (crashes));
-    CHECK (ledger.crashes() == 0);
-    CHECK (ledger.digest() == 0);
+    CHECK (history.crashes() == CrashLedger::maxSuspects / suspectsPerCrash);
+    CHECK (! history.isSuspect (1000));
+    CHECK (history.isSuspect (1000 + crashes * suspectsPerCrash - 1));
+    history.removeExpired (start + CrashLedger::retentionPeriod + seconds (crashes));
+    CHECK (history.crashes() == 0);
+    CHECK (history.digest() == 0);
 }
 
-TEST_CASE ("nodes that receive the same reports in any order end up with equal ledgers")
+TEST_CASE ("nodes that receive the same reports in any order end up with equal histories")
 {
     using Message = std::variant<CrashReport, CrashAcquittal>;
 
@@ -162,17 +162,17 @@
 
         const auto end = start + minutes (1);
         const auto replay = [&] {
-            CrashLedger ledger;
+            CrashLedger history;
 
             for (const auto& [item, at] : messages)
                 std::visit (
                     [&, when = at] (auto received) {
                         received.m_age = end - when;
-                        ledger.learn (received, end);
+                        history.add (received, end);
                     },
                     item);
 
-            return ledger;
+            return history;
         };
         const auto one = replay();
 
@@ -185,15 +185,15 @@
         for (ContentDigest content = 1; content <= 3; ++content)
             CHECK (one.holdStatus (content, end) == other.holdStatus (content, end));
 
-        // A node with an empty ledger that receives the complete one ends up with the same digest.
+        // A node with an empty history that receives the complete one ends up with the same digest.
         CrashLedger third;
         const auto snapshot = one.snapshot (end);
 
         for (const auto& report : snapshot.m_crashes)
-            third.learn (report, end);
+            third.add (report, end);
 
         for (const auto& acquittal : snapshot.m_acquittals)
-            third.learn (acquittal, end);
+            third.add (acquittal, end);
 
         CHECK (third.digest() == one.digest());
     }
--- a/tests/relay/crashes/CrashWatch_test.cpp
+++ b/tests/relay/crashes/CrashWatch_test.cpp
@@ -18,7 +18,7 @@
 /** A CrashWatch whose findings are collected every 100 ms, as a node does. */
 struct WatchHarness
 {
-    CrashWatch m_watch;
+    CrashWatch m_detector;
     Time m_now = start;
     std::vector<CrashWatch::Finding> m_findings;
 
@@ -27,17 +27,17 @@
         for (const auto end = m_now + duration; m_now < end;)
         {
             m_now += std::min<Duration> (window, end - m_now);
-            const auto found = m_watch.takeFindings (m_now);
+            const auto found = m_detector.takeFindings (m_now);
             m_findings.insert (m_findings.end(), found.begin(), found.end());
         }
     }
 
-    void breakConnection (ContentDigest content) { m_watch.onConnectionBroken (content, m_now); }
-    void answer (ContentDigest content) { m_watch.onAnswered (content, m_now); }
-    void announce() { m_watch.onAnnounced (m_now); }
+    void breakConnection (ContentDigest content) { m_detector.onConnectionBroken (content, m_now); }
+    void answer (ContentDigest content) { m_detector.onAnswered (content, m_now); }
+    void announce() { m_detector.onAnnounced (m_now); }
     void restart (const std::vector<ContentDigest>& running = {})
     {
-        m_watch.onNewIncarnation (running, m_now);
+        m_detector.onNewIncarnation (running, m_now);
     }
 };
 
@@ -72,7 +72,7 @@
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
           harness.breakConnection (second);
-          harness.m_watch.onConnectionRefused();
+          harness.m_detector.onConnectionRefused();
           harness.advance (window);
       },
       { first, second } },
@@ -104,7 +104,7 @@
     { "the new incarnation answers before it announces itself",
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
-          harness.m_watch.onConnectionRefused();
+          harness.m_detector.onConnectionRefused();
           harness.advance (window);
           harness.answer (second);
           harness.advance (window);
@@ -118,7 +118,7 @@
           harness.advance (window);
       },
       { first } },
-    { "the target goes silent with a request running, and a new incarnation starts",
+    { "the target stops answering with a request running, and a new incarnation starts",
       [] (WatchHarness& harness) {
           harness.restart ({ first });
           harness.advance (window);
@@ -126,7 +126,7 @@
       { first } },
     { "a leaving target exits with requests running",
       [] (WatchHarness& harness) {
-          harness.m_watch.onLeaving();
+          harness.m_detector.onLeaving();
           harness.breakConnection (first);
           harness.restart ({ second });
           harness.advance (std::chrono::seconds (1));
@@ -138,7 +138,7 @@
           harness.advance (std::chrono::seconds (1));
           harness.breakConnection (popular);
           harness.breakConnection (first);
-          harness.m_watch.onConnectionRefused();
+          harness.m_detector.onConnectionRefused();
           harness.advance (window);
       },
       { first } },
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -83,7 +83,7 @@
     CHECK (site.answers().at (other).m_result.m_reason != Reason::crashesTargets);
 }
 
-TEST_CASE ("a restarted node fetches the ledger of the others before it sends a held request")
+TEST_CASE ("a restarted node fetches the crash history of the others before it sends a held request")
 {
     SmallSite site;
     site.runUnderLoad (seconds (8), 200, [&] { site.sendAnywhere (crashingPath); });
@@ -122,8 +122,8 @@
         site.runUnderLoad (Milliseconds (300), 200);
     }
 
-    REQUIRE (site.reducer ("entry-5").relay().crashes().ledger().held() >= 1);
-    REQUIRE (site.reducer ("entry-8").relay().crashes().ledger().held() == 0);
+    REQUIRE (site.reducer ("entry-5").relay().crashes().crashHistory().held() >= 1);
+    REQUIRE (site.reducer ("entry-8").relay().crashes().crashHistory().held() == 0);
     site.healAll();
     site.runUnderLoad (propagationLimit, 200);
 
@@ -135,14 +135,14 @@
     }
 }
 
-TEST_CASE ("all nodes learn of the crashes in time, in fleets of any size")
+TEST_CASE ("all nodes receive the crash reports in time, in fleets of any size")
 {
     for (const unsigned nodes : { 15U, 68U, 194U })
     {
         CAPTURE (nodes);
         CrashSite site (nodes / 3, nodes - nodes / 3);
         const auto isKnownTo = [&] (const InstanceName& name) {
-            return site.reducer (name).relay().crashes().ledger().held() > 0;
+            return site.reducer (name).relay().crashes().crashHistory().held() > 0;
         };
         const auto before = site.crashUpdates();
 
@@ -207,7 +207,7 @@
     CHECK (site.answeredWith (Reason::crashesTargets) == 0);
 
     for (const auto& name : site.nodes())
-        CHECK (site.reducer (name).relay().crashes().ledger().held() == 0);
+        CHECK (site.reducer (name).relay().crashes().crashHistory().held() == 0);
 }
 
 //==============================================================================
--- a/tests/relay/entry/EntryAdmission_test.cpp
+++ b/tests/relay/entry/EntryAdmission_test.cpp
@@ -34,7 +34,7 @@
     explicit EntryNode (std::uint16_t levelPermille)
         : m_peers (memberOf ("entry", "web"))
     {
-        m_peers.learn (memberOf ("one", "archive"), PeerTable::Source::itself);
+        m_peers.addOrUpdate (memberOf ("one", "archive"), PeerTable::Source::itself);
         m_peers.find ("one")->m_isReachable = true;
         m_peers.onGate ("one", { true, 20, 0, {}, 0, levelPermille }, {});
         m_peers.onRouteTime ("one", { "log", Milliseconds (480) });
@@ -101,7 +101,7 @@
     CHECK (admitted["/log/"] > admitted["/status/"] * 0.6);
 }
 
-TEST_CASE ("where the most urgent priority saturates a service, lower priorities are admitted about a "
+TEST_CASE ("where the highest priority saturates a service, lower priorities are admitted about a "
            "quarter as often")
 {
     for (const std::uint16_t level : { 150, 200, 300 })
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE ("client retries are never promoted to a more urgent priority")
+TEST_CASE ("client retries are never promoted to a higher priority")
 {
     EntryNode entry (300);
     const auto& route = *entry.m_routes.find ("host", "/status/");
--- a/tests/relay/entry/PriorityStarvation_test.cpp
+++ b/tests/relay/entry/PriorityStarvation_test.cpp
@@ -5,9 +5,9 @@
 namespace plankledge::test
 {
 
-// Guards against starvation: the most urgent kind of request alone exceeds the capacity of the deepest
-// service, and strict priorities would shed nearly all requests of the other kinds.
-TEST_CASE ("lower priorities are not starved where the most urgent kind saturates a service")
+// Guards against starvation: requests of the highest priority alone exceed the capacity of the deepest
+// service, and strict priorities would shed nearly all other requests.
+TEST_CASE ("lower priorities are not starved where the highest priority saturates a service")
 {
     ChainSite site (95, 225, 25, {});
     site.load (std::chrono::seconds (5));
@@ -20,7 +20,7 @@
     MESSAGE ("served: lodges ", site.lodges().share(), ", searches ", site.searches().share(),
              ", corrections ", site.corrections().share(), ", all ", all);
 
-    // Each kind is served at least a quarter as often as all together, and the most urgent one far more.
+    // Each priority is served at least a quarter as often as all together, and the highest one far more.
     CHECK (site.searches().share() > all / 4);
     CHECK (site.corrections().share() > all / 4);
     CHECK (site.lodges().share() > 0.45);
--- a/tests/relay/entry/TargetSelection_test.cpp
+++ b/tests/relay/entry/TargetSelection_test.cpp
@@ -82,7 +82,7 @@
                         queuedWork (candidate),
                         candidate.m_failurePermille,
                         static_cast<std::uint16_t> (1000 - candidate.m_shedPermille) };
-        peer.m_times["route"] = Milliseconds (candidate.m_serviceMs);
+        peer.m_routeTimes["route"] = Milliseconds (candidate.m_serviceMs);
         peers.push_back (peer);
     }
 
--- a/tests/relay/gate/LocalTarget_test.cpp
+++ b/tests/relay/gate/LocalTarget_test.cpp
@@ -149,7 +149,7 @@
     }
 }
 
-TEST_CASE ("a silent target is not served until it is announced again")
+TEST_CASE ("a target without recent announcements is not served until it is announced again")
 {
     LocalTarget target (announcementPeriod);
     Time now { std::chrono::hours (1) };
@@ -185,7 +185,8 @@
     CHECK (target.slots() == 61);
 }
 
-TEST_CASE ("a target that was replaced by a stray announcement is served again once the other one is silent")
+TEST_CASE ("a target that was replaced by a stray announcement is served again once the other one is no "
+           "longer announced")
 {
     LocalTarget target (announcementPeriod);
     Time now { std::chrono::hours (1) };
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -228,7 +228,7 @@
     checkWindows (fleet);
 }
 
-TEST_CASE ("an organisation that sends far more than its limit is held to it, and is told when to retry")
+TEST_CASE ("an organisation that sends far more than its limit is kept within it and gets a retry delay")
 {
     for (const unsigned nodes : { 15U, 68U, 200U })
     {
--- a/tests/relay/limits/TokenBucket_test.cpp
+++ b/tests/relay/limits/TokenBucket_test.cpp
@@ -54,7 +54,7 @@
     CHECK (bucket.level() == doctest::Approx (1.0));
 }
 
-TEST_CASE ("the wait is bounded even with a share of zero")
+TEST_CASE ("the retry delay is bounded even with a share of zero")
 {
     TokenBucket bucket (0, start);
     CHECK (bucket.take ({ 10, 5 }, 0.0, start) == std::chrono::minutes (1));
--- a/tests/relay/peers/PeerContacts_test.cpp
+++ b/tests/relay/peers/PeerContacts_test.cpp
@@ -26,12 +26,12 @@
         , m_contacts (m_self)
     {
         for (unsigned number = 0; number < inZone; ++number)
-            learn ("own-" + std::to_string (number), "zone-a");
+            addPeer ("own-" + std::to_string (number), "zone-a");
 
         for (unsigned number = 0; number < elsewhere; ++number)
-            learn ("far-" + std::to_string (number), "zone-b");
+            addPeer ("far-" + std::to_string (number), "zone-b");
 
-        m_contacts.need ("plans", start);
+        m_contacts.trackService ("plans", start);
     }
 
     static Member makeSelf (const std::string& name)
@@ -41,9 +41,9 @@
         return self;
     }
 
-    void learn (const std::string& name, const ZoneName& zone)
+    void addPeer (const std::string& name, const ZoneName& zone)
     {
-        m_peers.learn (makeMember (name, zone), PeerTable::Source::store);
+        m_peers.addOrUpdate (makeMember (name, zone), PeerTable::Source::store);
     }
 
     std::set<InstanceName> subsetAt (Time now) const
@@ -76,8 +76,8 @@
     const char* m_name;
     unsigned m_inZone;
     unsigned m_elsewhere;
-    std::size_t m_chosenInZone;
-    std::size_t m_chosenElsewhere;
+    std::size_t m_selectedInZone;
+    std::size_t m_selectedElsewhere;
 };
 
 const SizeRow sizeRows[] = {
@@ -97,8 +97,8 @@
         CAPTURE (row.m_name);
         const View view ("web-1", row.m_inZone, row.m_elsewhere);
         const auto subset = view.subsetAt (start);
-        CHECK (countZone (subset, "own-") == row.m_chosenInZone);
-        CHECK (countZone (subset, "far-") == row.m_chosenElsewhere);
+        CHECK (countZone (subset, "own-") == row.m_selectedInZone);
+        CHECK (countZone (subset, "far-") == row.m_selectedElsewhere);
     }
 }
 
@@ -109,7 +109,7 @@
     for (unsigned number = 0; number < 60; ++number)
     {
         View view ("web-" + std::to_string (number), 20, 20);
-        view.learn ("own-new", "zone-a");
+        view.addPeer ("own-new", "zone-a");
 
         for (const auto& name : view.subsetAt (start))
             ++subsets[name];
@@ -152,8 +152,8 @@
 {
     const char* m_name;
     int m_gate;
-    int m_heard;
-    int m_asked; /**< the unanswered hello; 0: none */
+    int m_lastFrame;
+    int m_unansweredHello; /**< 0: none */
     unsigned m_requestsInFlight;
     bool m_isDue;
     const char* m_zone = "zone-a"; /**< of the peer; this node is in zone-a */
@@ -163,14 +163,14 @@
 const DueRow dueRows[] = {
     { "recent gate status", 300, 300, 0, 0, false },
     { "outdated gate status", 600, 100, 0, 0, true },
-    { "requests in flight, quiet", 300, 300, 0, 1, true },
-    { "requests in flight, not quiet", 300, 100, 0, 1, false },
+    { "requests in flight, no recent frame", 300, 300, 0, 1, true },
+    { "requests in flight, recent frame", 300, 100, 0, 1, false },
     { "unanswered hello, sent recently", 900, 900, 100, 1, false },
     { "unanswered hello, due again", 2000, 2000, 800, 1, true },
     { "another zone, idle, recent gate status", 600, 600, 0, 0, false, "zone-b" },
     { "another zone, idle, outdated gate status", 2100, 2100, 0, 0, true, "zone-b" },
     { "another zone, in use, outdated gate status", 600, 100, 0, 0, true, "zone-b", 900 },
-    { "another zone, request in flight, quiet", 300, 300, 0, 1, true, "zone-b", 300 },
+    { "another zone, request in flight, no recent frame", 300, 300, 0, 1, true, "zone-b", 300 },
 };
 
 } // namespace
@@ -184,19 +184,19 @@
         CAPTURE (row.m_name);
         Peer peer;
         peer.m_gateUpdatedAt = now - Milliseconds (row.m_gate);
-        peer.m_heardAt = now - Milliseconds (row.m_heard);
+        peer.m_lastFrameAt = now - Milliseconds (row.m_lastFrame);
         peer.m_callsAt = now;
         peer.m_member.m_zone = row.m_zone;
         peer.m_sentAt = now - Milliseconds (row.m_sent);
         peer.m_requestsInFlight = row.m_requestsInFlight;
 
-        if (row.m_asked > 0)
+        if (row.m_unansweredHello > 0)
         {
-            peer.m_askedAt = now - Milliseconds (row.m_asked);
-            peer.m_lastAskedAt = *peer.m_askedAt;
+            peer.m_unansweredHelloAt = now - Milliseconds (row.m_unansweredHello);
+            peer.m_lastHelloAt = *peer.m_unansweredHelloAt;
         }
 
-        CHECK (PeerContacts::isDue (peer, "zone-a", now) == row.m_isDue);
+        CHECK (PeerContacts::isHelloDue (peer, "zone-a", now) == row.m_isDue);
     }
 }
 
@@ -229,9 +229,9 @@
 TEST_CASE ("a service that is no longer needed is dropped")
 {
     View view ("web-1", 5, 0);
-    CHECK (view.m_contacts.due (view.m_peers, start).size() == 5);
-    CHECK (view.m_contacts.due (view.m_peers, start + std::chrono::seconds (61)).empty());
-    CHECK (view.m_contacts.need ("plans", start + std::chrono::seconds (62)));
+    CHECK (view.m_contacts.peersDueForHello (view.m_peers, start).size() == 5);
+    CHECK (view.m_contacts.peersDueForHello (view.m_peers, start + std::chrono::seconds (61)).empty());
+    CHECK (view.m_contacts.trackService ("plans", start + std::chrono::seconds (62)));
 }
 
 } // namespace plankledge::test
--- a/tests/relay/peers/PeerReachability_test.cpp
+++ b/tests/relay/peers/PeerReachability_test.cpp
@@ -96,7 +96,7 @@
     CHECK (rig.answers().at (ticket).m_result.m_outcome == Outcome::completed);
 }
 
-TEST_CASE ("a peer that is quiet with requests in flight receives no more after a second")
+TEST_CASE ("an unresponsive peer with requests in flight receives no more after a second")
 {
     RelaySite site;
     site.setTargets (never);
--- a/tests/relay/peers/PeerTable_test.cpp
+++ b/tests/relay/peers/PeerTable_test.cpp
@@ -25,7 +25,7 @@
     /** Adds a reachable node with an open gate. */
     void addServing (const std::string& name, const std::string& ip)
     {
-        learn (makeMember (name, ip), Source::store);
+        addOrUpdate (makeMember (name, ip), Source::store);
         onFrameReceived ({ name, 1 }, start);
         onGate (name, { true, 20, 0, {}, 0, 1000 }, start);
     }
@@ -36,25 +36,25 @@
 TEST_CASE ("a node that takes over an address replaces the previous node in all indexes")
 {
     Table table;
-    table.learn (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
-    table.learn (makeMember ("new", "10.0.0.3"), PeerTable::Source::store);
-    table.learn (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("new", "10.0.0.3"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
 
-    // The new node is learned at the old node's address, then once more unchanged.
-    table.learn (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
-    table.learn (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
+    // The new node is added at the old node's address, then once more unchanged.
+    table.addOrUpdate (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
     REQUIRE (table.ofService ("plans").size() == 1);
     CHECK (table.ofService ("plans")[0]->m_member.m_id.m_instance == "new");
     CHECK (table.find ("old") == nullptr);
 }
 
-TEST_CASE ("a reachable node keeps its address and replaces an outdated entry when learned again")
+TEST_CASE ("a reachable node keeps its address and replaces an outdated entry when added again")
 {
     Table table;
     table.addServing ("new", "10.0.0.2");
-    table.learn (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("old", "10.0.0.2"), PeerTable::Source::store);
     CHECK (table.ofService ("plans").size() == 2);
-    table.learn (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("new", "10.0.0.2"), PeerTable::Source::store);
     REQUIRE (table.ofService ("plans").size() == 1);
     CHECK (table.ofService ("plans")[0]->m_member.m_id.m_instance == "new");
 }
@@ -64,23 +64,23 @@
     Table table;
     table.addServing ("one", "10.0.0.2");
     CHECK (table.acceptingRequests ("plans").size() == 1);
-    table.learn (makeMember ("one", "10.0.0.2", "other"), PeerTable::Source::itself);
+    table.addOrUpdate (makeMember ("one", "10.0.0.2", "other"), PeerTable::Source::itself);
     CHECK (table.ofService ("plans").empty());
     CHECK (table.ofService ("other").size() == 1);
 }
 
-TEST_CASE ("forgetting a node removes it from all indexes unless it is reachable")
+TEST_CASE ("a removed node is in no index, and a reachable node is not removed")
 {
     Table table;
-    table.learn (makeMember ("gone", "10.0.0.2"), PeerTable::Source::store);
+    table.addOrUpdate (makeMember ("gone", "10.0.0.2"), PeerTable::Source::store);
     table.addServing ("here", "10.0.0.3");
-    table.forget ("gone");
-    table.forget ("here");
+    table.removeIfUnreachable ("gone");
+    table.removeIfUnreachable ("here");
     REQUIRE (table.ofService ("plans").size() == 1);
     CHECK (table.ofService ("plans")[0]->m_member.m_id.m_instance == "here");
 }
 
-TEST_CASE ("a quiet peer becomes unreachable only if a hello is unanswered")
+TEST_CASE ("a peer that sends nothing for a second becomes unreachable only if a hello is unanswered")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
@@ -103,27 +103,27 @@
     CHECK (table.takeNewlyUnreachable (start + Milliseconds (5700)).size() == 1);
 }
 
-TEST_CASE ("route durations are the latest received, and the expected wait depends on the route")
+TEST_CASE ("route durations are the latest received, and the expected queueing time depends on the route")
 {
     Table table;
     table.addServing ("one", "10.0.0.2");
     table.onRouteTimes ("one", { { "log", Milliseconds (400) }, { "fetch", Milliseconds (20) } });
     table.onRouteTime ("one", { "fetch", Milliseconds (40) });
     const auto& one = *table.find ("one");
-    CHECK (one.timeOf ("log") == Milliseconds (400));
-    CHECK (one.timeOf ("fetch") == Milliseconds (40));
-    CHECK (one.expectedWait ("log") == Duration::zero());
+    CHECK (one.routeTimeOf ("log") == Milliseconds (400));
+    CHECK (one.routeTimeOf ("fetch") == Milliseconds (40));
+    CHECK (one.expectedQueueTime ("log") == Duration::zero());
 
     for (int index = 0; index < 20; ++index)
         table.onSent ("one", "fetch", start);
 
-    CHECK (one.expectedWait ("log") == Milliseconds (400) / 20);
-    CHECK (one.expectedWait ("fetch") == Milliseconds (40) / 20);
+    CHECK (one.expectedQueueTime ("log") == Milliseconds (400) / 20);
+    CHECK (one.expectedQueueTime ("fetch") == Milliseconds (40) / 20);
     table.onSent ("one", "log", start);
-    CHECK (one.expectedWait ("fetch") == Milliseconds (440) / 20);
+    CHECK (one.expectedQueueTime ("fetch") == Milliseconds (440) / 20);
 
     table.onRouteTimes ("one", { { "fetch", Milliseconds (40) } });
-    CHECK (one.timeOf ("log") == Duration::zero());
+    CHECK (one.routeTimeOf ("log") == Duration::zero());
 }
 
 } // namespace plankledge::test
--- a/tests/relay/routes/CallGraph_test.cpp
+++ b/tests/relay/routes/CallGraph_test.cpp
@@ -49,7 +49,7 @@
     CHECK (demand.at ("corrections") == doctest::Approx (6.0));
     CHECK (graph.demandOf ("unknown").empty());
 
-    graph.forget ("three");
+    graph.removePeer ("three");
     CHECK (graph.demandOf ("search").at ("corrections") == doctest::Approx (4.0));
 }
 
--- a/tests/relay/store/MemberDirectory_test.cpp
+++ b/tests/relay/store/MemberDirectory_test.cpp
@@ -29,9 +29,9 @@
     CHECK_FALSE (directory.end().isKnown());
     directory.apply ({ { makeMember ("b") }, {}, {}, at (7) });
     CHECK (directory.end() == at (7));
-    CHECK (directory.since ({}).m_members.size() == 2);
-    CHECK (directory.since ({}).m_end == at (7));
-    CHECK (directory.since (at (7)).m_members.empty());
+    CHECK (directory.changesSince ({}).m_members.size() == 2);
+    CHECK (directory.changesSince ({}).m_end == at (7));
+    CHECK (directory.changesSince (at (7)).m_members.empty());
 }
 
 TEST_CASE ("changes since a position include new and withdrawn records")
@@ -39,7 +39,7 @@
     MemberDirectory directory;
     directory.apply ({ { makeMember ("a"), makeMember ("b") }, {}, {}, at (2) });
     directory.apply ({ { makeMember ("c") }, { "a" }, {}, at (4) });
-    const auto changes = directory.since (at (2));
+    const auto changes = directory.changesSince (at (2));
     REQUIRE (changes.m_members.size() == 1);
     CHECK (changes.m_members[0].m_id.m_instance == "c");
     CHECK (changes.m_withdrawn == std::vector<InstanceName> { "a" });
@@ -66,8 +66,8 @@
     directory.apply ({ { makeMember ("c") }, {}, {}, at (4, 2) });
     CHECK (directory.end() == at (4, 2));
     CHECK_FALSE (directory.matches (makeMember ("b")));
-    CHECK (directory.since (at (9)).m_members.size() == 2);
-    CHECK (directory.since (at (9)).m_withdrawn.empty());
+    CHECK (directory.changesSince (at (9)).m_members.size() == 2);
+    CHECK (directory.changesSince (at (9)).m_withdrawn.empty());
 }
 
 TEST_CASE ("reads from an earlier era are ignored, and pages of different eras are not combined")
