--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -326,7 +326,7 @@
     Endpoint m_endpoint;
     std::uint32_t m_slots = 0;
     std::optional<Duration> m_startedAt {}; /**< since the Unix epoch, by the target's clock: distinguishes
-                                               with the same id apart; nullopt: not announced */
+                                               restarts with the same id; nullopt: not announced */
 
     auto operator<=> (const TargetAnnounced&) const = default;
 
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -28,7 +28,7 @@
 public:
     //==============================================================================
     /** How long the digest of a peer may differ before its crash history is requested. Longer than a report
-       takes to arrive. */
+        takes to arrive. */
     static constexpr Duration digestMismatchGrace = std::chrono::seconds (1);
 
     CrashGuard (const NodeId& self, PeerTable& peers);
--- a/modules/plankledge_policy/relay/entry/EntryRequest.h
+++ b/modules/plankledge_policy/relay/entry/EntryRequest.h
@@ -36,7 +36,7 @@
     bool m_mayHaveRun = false;            /**< an attempt ended without confirmation that it did not run */
     InstanceName m_instance;              /**< that holds the current attempt; empty if there is none */
     CallId m_call = 0;                    /**< of the current attempt; 0 if there is none */
-    bool m_isQueued = false;              /**< waits for a target at the entry node */
+    bool m_isQueued = false;              /**< at the entry node, until a target is available */
     Reason m_lastReason = Reason::noReachableInstance;
 };
 
--- a/modules/plankledge_policy/relay/entry/RelayEntry.h
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.h
@@ -63,8 +63,7 @@
     /** No connection could be established: these calls were not sent. */
     void onPeerUnreachable (Turn& turn, const InstanceName& instance, const std::vector<CallId>& calls);
 
-    /** The peer left a hello unanswered: its requests are retried elsewhere if their routes are repeatable.
-     */
+    /** The peer left a hello unanswered: retries its requests elsewhere if their routes are repeatable. */
     void onPeerUnresponsive (Turn& turn, const InstanceName& instance);
 
     /** The peer was lost: requests sent there may have run. */
--- a/modules/plankledge_policy/relay/gate/ActiveChains.cpp
+++ b/modules/plankledge_policy/relay/gate/ActiveChains.cpp
@@ -7,17 +7,17 @@
 
 void ActiveChains::add (std::string_view requestId, Time now)
 {
-    m_seenAt[hashText (rootOf (requestId))] = now;
+    m_lastDispatchAt[hashText (rootOf (requestId))] = now;
 }
 
 bool ActiveChains::contains (std::string_view requestId) const
 {
-    return m_seenAt.contains (hashText (rootOf (requestId)));
+    return m_lastDispatchAt.contains (hashText (rootOf (requestId)));
 }
 
 void ActiveChains::removeBefore (Time time)
 {
-    std::erase_if (m_seenAt, [time] (const auto& entry) { return entry.second < time; });
+    std::erase_if (m_lastDispatchAt, [time] (const auto& entry) { return entry.second < time; });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/gate/ActiveChains.h
+++ b/modules/plankledge_policy/relay/gate/ActiveChains.h
@@ -33,7 +33,8 @@
 
 private:
     //==============================================================================
-    std::unordered_map<std::uint64_t, Time> m_seenAt; /**< keyed by the hash of the root request's id */
+    /** Keyed by the hash of the root request's id. */
+    std::unordered_map<std::uint64_t, Time> m_lastDispatchAt;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/gate/AdmissionLevel.cpp
+++ b/modules/plankledge_policy/relay/gate/AdmissionLevel.cpp
@@ -24,7 +24,7 @@
 constexpr double correctionExponent = 0.35;
 
 /** Bounds of the factor applied in one period. The level may fall faster than it rises: excess load wastes
-    work of the upstream services, whereas refused requests are sent again. */
+    work of the upstream services, whereas refused requests are retried. */
 constexpr double minStepFactor = 0.75;
 constexpr double maxStepFactor = 1.2;
 
--- a/modules/plankledge_policy/relay/gate/RouteTimes.cpp
+++ b/modules/plankledge_policy/relay/gate/RouteTimes.cpp
@@ -25,12 +25,12 @@
     auto& mean = entry->second;
     mean.m_microseconds +=
         (static_cast<double> (duration.count()) - mean.m_microseconds) * (isNew ? 1.0 : smoothingFactor);
-    mean.m_seenAt = now;
+    mean.m_lastSampleAt = now;
 }
 
 void RouteTimes::removeBefore (Time time)
 {
-    std::erase_if (m_means, [time] (const auto& entry) { return entry.second.m_seenAt < time; });
+    std::erase_if (m_means, [time] (const auto& entry) { return entry.second.m_lastSampleAt < time; });
 }
 
 std::optional<Duration> RouteTimes::findAverage (const RouteName& route) const noexcept
--- a/modules/plankledge_policy/relay/gate/RouteTimes.h
+++ b/modules/plankledge_policy/relay/gate/RouteTimes.h
@@ -48,7 +48,7 @@
     struct Mean
     {
         double m_microseconds = 0.0;
-        Time m_seenAt; /**< when the last sample was added */
+        Time m_lastSampleAt;
     };
 
     std::map<RouteName, Mean> m_means;
--- a/modules/plankledge_policy/relay/gate/TargetGate.cpp
+++ b/modules/plankledge_policy/relay/gate/TargetGate.cpp
@@ -133,8 +133,8 @@
 
     auto ahead = call.m_slotTime;
 
-    for (auto waiting = m_queue.begin(); waiting != m_queue.lower_bound (queueKeyOf (id, call)); ++waiting)
-        ahead += m_calls.at (waiting->second).m_slotTime;
+    for (auto queued = m_queue.begin(); queued != m_queue.lower_bound (queueKeyOf (id, call)); ++queued)
+        ahead += m_calls.at (queued->second).m_slotTime;
 
     return ahead / limit();
 }
--- a/modules/plankledge_policy/relay/gate/TargetGate.h
+++ b/modules/plankledge_policy/relay/gate/TargetGate.h
@@ -100,7 +100,7 @@
 private:
     //==============================================================================
     /** Queue order: active chains first, since work is wasted if they fail; then by effective priority; then
-       by the start of the chain for active chains and by arrival for others. */
+        by the start of the chain for active chains and by arrival for others. */
     using QueueKey = std::tuple<bool, std::uint16_t, Time, CallId>;
 
     using Call = detail::GateCall;
--- a/modules/plankledge_policy/relay/limits/LimitHomes.h
+++ b/modules/plankledge_policy/relay/limits/LimitHomes.h
@@ -35,8 +35,8 @@
     static constexpr Duration contactInterval = Milliseconds (500);
 
     /** A peer counts as reachable if a frame from it was received within this time. It covers the longest
-       time between two hellos and a pause of the process. If it is too long, the two sides of a network
-       partition together exceed the limits. */
+        time between two hellos and a pause of the process. If it is too long, the two sides of a network
+        partition together exceed the limits. */
     static constexpr Duration reachabilityWindow = std::chrono::seconds (1);
 
     explicit LimitHomes (const PeerTable& peers);
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.h
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.h
@@ -19,9 +19,9 @@
 
     Each request is counted once, by the home of its organisation, before it is forwarded. This costs a round
     trip, but is exact wherever requests arrive, also for organisations whose equal share per node is less
-    than one request per window. A home grants only the share of the limit that belongs to the nodes that
-    can reach it, so that the two sides of a network partition together stay within one limit. A new home does
-   not know what the previous one allowed. It starts with a quarter of the permitted excess per window, which
+    than one request per window. A home grants only the share of the limit that belongs to the nodes that can
+    reach it, so that the two sides of a network partition together stay within one limit. A new home does not
+    know what the previous one allowed. It starts with a quarter of the permitted excess per window, which
     allows for two changes of the home in one window.
 
     A lowered limit is enforced with a delay of one window, so that requests that were within the previous
--- a/modules/plankledge_policy/relay/limits/TokenBucket.cpp
+++ b/modules/plankledge_policy/relay/limits/TokenBucket.cpp
@@ -8,25 +8,25 @@
 namespace
 {
 
-/** Upper bound of the waiting times returned, also if the rate is zero. */
+/** Upper bound of the returned retry delay, also if the rate is zero. */
 constexpr Duration maxWait = std::chrono::minutes (1);
 
 } // namespace
 
 TokenBucket::TokenBucket (double level, Time now)
     : m_level (level)
-    , m_at (now)
+    , m_updatedAt (now)
 {
 }
 
 Duration TokenBucket::take (const RequestLimit& limit, double share, Time now)
 {
     const auto rate = limit.m_perSecond * share;
-    const auto seconds = static_cast<double> ((now - m_at).count()) / 1e6;
+    const auto seconds = static_cast<double> ((now - m_updatedAt).count()) / 1e6;
 
     // A bucket with a capacity below one token would never allow a request.
     m_level = std::min (m_level + seconds * rate, std::max (1.0, limit.m_burst * share));
-    m_at = now;
+    m_updatedAt = now;
 
     if (m_level >= 1.0)
     {
--- a/modules/plankledge_policy/relay/limits/TokenBucket.h
+++ b/modules/plankledge_policy/relay/limits/TokenBucket.h
@@ -34,7 +34,7 @@
 private:
     //==============================================================================
     double m_level;
-    Time m_at;
+    Time m_updatedAt;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/relay/peers/PeerTable.h
+++ b/modules/plankledge_policy/relay/peers/PeerTable.h
@@ -17,17 +17,16 @@
 struct Peer
 {
     Member m_member;
-    GateStatus m_gate;                    /**< as last received */
-    std::uint32_t m_sentSinceStatus = 0;  /**< requests sent to it since m_gate was received */
-    std::uint32_t m_requestsInFlight = 0; /**< requests sent to it that have not ended */
-    Duration m_workSinceStatus {};        /**< slot time expected for requests queued since then */
-    std::map<RouteName, Duration>
-        m_routeTimes;            /**< request duration per route at its target, as last received */
-    Time m_gateUpdatedAt;        /**< when m_gate was received */
-    Time m_callsAt;              /**< when the calls seen at it were last received */
-    unsigned m_callsUpdates = 0; /**< how often calls were received */
-    Time m_sentAt;               /**< when a request was last sent to it */
-    Time m_lastFrameAt;          /**< when any frame from it was last received */
+    GateStatus m_gate;                          /**< as last received */
+    std::uint32_t m_sentSinceStatus = 0;        /**< requests sent to it since m_gate was received */
+    std::uint32_t m_requestsInFlight = 0;       /**< requests sent to it that have not ended */
+    Duration m_workSinceStatus {};              /**< slot time expected for requests queued since then */
+    std::map<RouteName, Duration> m_routeTimes; /**< request durations at its target, as last received */
+    Time m_gateUpdatedAt;                       /**< when m_gate was received */
+    Time m_callsAt;                             /**< when the calls seen at it were last received */
+    unsigned m_callsUpdates = 0;                /**< how often calls were received */
+    Time m_sentAt;                              /**< when a request was last sent to it */
+    Time m_lastFrameAt;                         /**< when any frame from it was last received */
     bool m_isReachable = false;
     std::optional<Time> m_unansweredHelloAt; /**< when the oldest unanswered hello was sent; nullopt: none */
     Time m_lastHelloAt;                      /**< when the latest hello was sent */
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashLedger_test.cpp
@@ -28,7 +28,7 @@
     return { { { "node", 1 }, number }, {}, true, {} };
 }
 
-/** @returns a history with so many crashes of targets that ran the crashing request, one second apart */
+/** @returns a history of crashes of targets that ran the crashing request, one second apart */
 CrashLedger historyAfter (std::uint64_t crashes)
 {
     CrashLedger history;
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -212,7 +212,7 @@
 
 //==============================================================================
 /*  Up to a third of the targets crashes every five seconds, independently of the requests. A tenth of the
-    requests asks for one of a hundred popular contents, and callers repeat a failed request once. */
+    requests asks for one of a hundred popular contents, and callers retry a failed request once. */
 TEST_CASE ("no request is held for crashes that it did not cause")
 {
     const auto* setting = std::getenv ("PLANKLEDGE_INNOCENT_REQUESTS");
--- a/tests/relay/entry/TargetSelection_test.cpp
+++ b/tests/relay/entry/TargetSelection_test.cpp
@@ -55,7 +55,7 @@
     { "the own zone, although it sheds a tenth",
       { { "own", "a", 20, 30, 0, 100 }, { "far", "b", 5, 30, 0 } },
       "own" },
-    { "another zone, if the own target is very slow",
+    { "another zone, if the target in the own zone is very slow",
       { { "slow", "a", 5, 900, 0 }, { "far", "b", 5, 60, 0 } },
       "far" },
 };
@@ -63,8 +63,8 @@
 /** @returns the total service time of the requests queued beyond the 20 slots */
 Duration queuedWork (const Candidate& candidate)
 {
-    const auto waiting = candidate.m_load > 20 ? candidate.m_load - 20 : 0;
-    return Milliseconds (candidate.m_serviceMs) * waiting;
+    const auto queued = candidate.m_load > 20 ? candidate.m_load - 20 : 0;
+    return Milliseconds (candidate.m_serviceMs) * queued;
 }
 
 std::vector<Peer> makePeers (const std::vector<Candidate>& candidates)
--- a/tests/relay/gate/RestartedTarget_test.cpp
+++ b/tests/relay/gate/RestartedTarget_test.cpp
@@ -35,7 +35,7 @@
     const auto running = site.send ("entry", "running", "/write/x");
     site.send ("entry", "also running", "/write/x");
     site.run (Milliseconds (20));
-    const auto waiting = site.send ("entry", "waiting", "/write/x");
+    const auto queued = site.send ("entry", "waiting", "/write/x");
     site.run (Milliseconds (20));
     REQUIRE (site.runsOf ("running").size() == 1);
     REQUIRE (site.runsOf ("waiting").empty());
@@ -46,8 +46,8 @@
     REQUIRE (site.answers().contains (running));
     CHECK (site.answers().at (running).m_result.m_outcome == Outcome::unknown);
     CHECK (site.runsOf ("running").size() == 1);
-    REQUIRE (site.answers().contains (waiting));
-    CHECK (site.answers().at (waiting).m_result.m_outcome == Outcome::completed);
+    REQUIRE (site.answers().contains (queued));
+    CHECK (site.answers().at (queued).m_result.m_outcome == Outcome::completed);
     CHECK (site.runsOf ("waiting").size() == 1);
 }
 
--- a/tests/relay/store/StoreFollowers_test.cpp
+++ b/tests/relay/store/StoreFollowers_test.cpp
@@ -120,13 +120,13 @@
 // the new version.
 TEST_CASE ("a version written as the store recovers from an outage is in force on all nodes within 3 s")
 {
-    for (const auto silence : { Milliseconds (700), Milliseconds (2100), Milliseconds (8000) })
+    for (const auto outage : { Milliseconds (700), Milliseconds (2100), Milliseconds (8000) })
     {
-        CAPTURE (silence.count());
+        CAPTURE (outage.count());
         StartedFleet fleet (60);
         fleet.run (Milliseconds (1234));
         fleet.setDown (true);
-        fleet.run (silence);
+        fleet.run (outage);
         fleet.setDown (false);
         fleet.write (2);
         CHECK (fleet.timeUntilInForce (2, seconds (5)) <= Milliseconds (2900));
