--- a/modules/plankledge_policy/relay/store/MemberDirectory.cpp
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.cpp
@@ -32,7 +32,7 @@
         m_entries[instance] = { std::move (member), m_end };
 }
 
-MembersUpdate MemberDirectory::since (const StorePosition& have) const
+MembersUpdate MemberDirectory::changesSince (const StorePosition& have) const
 {
     MembersUpdate changes;
     changes.m_end = m_end;
--- a/modules/plankledge_policy/relay/store/MemberDirectory.h
+++ b/modules/plankledge_policy/relay/store/MemberDirectory.h
@@ -31,7 +31,7 @@
     StorePosition end() const noexcept { return m_end; }
 
     /** @returns the changes since the given position */
-    MembersUpdate since (const StorePosition& have) const;
+    MembersUpdate changesSince (const StorePosition& have) const;
 
     /** @returns true if the store has a record of this instance with the same service, zone and address,
         of any incarnation */
