--- a/modules/plankledge_policy/Effects.h
+++ b/modules/plankledge_policy/Effects.h
@@ -216,14 +216,14 @@
 {
     once,   /**< list all records, then stop */
     follow, /**< keep reading new records */
-    rest    /**< stop reading */
+    stop    /**< stop reading */
 };
 
 /** Changes how a topic of the store is read. */
 struct ReadTopic
 {
     StoreTopic m_topic = StoreTopic::members;
-    TopicReadMode m_readMode = TopicReadMode::rest;
+    TopicReadMode m_readMode = TopicReadMode::stop;
     StorePosition m_from;  /**< follow: position to read from; without an offset the topic is listed first */
     Duration m_maxWait {}; /**< follow: timeout of a read without new records, so that an outage of the
                                   store is detected; 0: the store's own maximum */
--- a/modules/plankledge_policy/Events.h
+++ b/modules/plankledge_policy/Events.h
@@ -122,7 +122,7 @@
 
 enum class TargetFailure : std::uint8_t
 {
-    refusedConnection, /**< nothing was sent */
+    connectionRefused, /**< nothing was sent */
     broken             /**< the request may have arrived */
 };
 
--- a/modules/plankledge_policy/admission/Admission.cpp
+++ b/modules/plankledge_policy/admission/Admission.cpp
@@ -39,7 +39,7 @@
     const bool mustWait = m_inUse >= m_limit.limit();
     const auto ahead = m_queue.countAhead (entry.m_rank, entry.m_isNested);
 
-    if (! m_isBaseline && mustWait && expectedWait (ahead) + m_serviceTime > timeLeft)
+    if (! m_isBaseline && mustWait && expectedQueueTime (ahead) + m_serviceTime > timeLeft)
     {
         m_threshold.onCapacityRefusal (entry.m_rank);
         return { Reason::wouldMissDeadline, std::nullopt };
@@ -123,7 +123,7 @@
 
     // No call of the class got a slot in this window: estimate the wait from the queue.
     const auto queued = m_queue.countOf (priorityClass);
-    return queued > 0 ? expectedWait (queued) : Duration::zero();
+    return queued > 0 ? expectedQueueTime (queued) : Duration::zero();
 }
 
 //==============================================================================
@@ -133,7 +133,7 @@
     return static_cast<std::uint16_t> (std::min<std::size_t> (65535, busy / std::max (1U, m_limit.limit())));
 }
 
-Duration Admission::expectedWait (std::size_t ahead) const noexcept
+Duration Admission::expectedQueueTime (std::size_t ahead) const noexcept
 {
     return m_serviceTime * static_cast<Duration::rep> (ahead + 1) /
            static_cast<Duration::rep> (std::max (1U, m_limit.limit()));
--- a/modules/plankledge_policy/admission/Admission.h
+++ b/modules/plankledge_policy/admission/Admission.h
@@ -98,7 +98,7 @@
     };
 
     Duration averageWait (std::size_t priorityClass) const noexcept;
-    Duration expectedWait (std::size_t ahead) const noexcept;
+    Duration expectedQueueTime (std::size_t ahead) const noexcept;
     Duration acceptableWait (std::size_t priorityClass) const noexcept;
     double updateUtilisation() noexcept;
 
--- a/modules/plankledge_policy/calls/InboundCalls.cpp
+++ b/modules/plankledge_policy/calls/InboundCalls.cpp
@@ -332,7 +332,7 @@
 
     m_admission.onSlotFreed (std::nullopt);
 
-    if (failure.m_failure == TargetFailure::refusedConnection)
+    if (failure.m_failure == TargetFailure::connectionRefused)
     {
         onTargetObserved (turn, TargetState::unreachable);
         refuseCall (turn, failure.m_call, Reason::targetRefusedConnection);
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashDetector.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/crashes/CrashWatch.h"
+#include "plankledge_policy/relay/crashes/CrashDetector.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,17 +15,17 @@
 } // namespace
 
 //==============================================================================
-CrashWatch::CrashWatch()
+CrashDetector::CrashDetector()
     : m_completedContents (completedTableSize)
 {
 }
 
-bool CrashWatch::hasCompleted (ContentDigest content) const noexcept
+bool CrashDetector::hasCompleted (ContentDigest content) const noexcept
 {
     return m_completedContents[content % completedTableSize] == content;
 }
 
-void CrashWatch::onConnectionBroken (ContentDigest content, Time now)
+void CrashDetector::onConnectionBroken (ContentDigest content, Time now)
 {
     if (m_isLeaving)
         return;
@@ -42,7 +42,7 @@
     m_suspectedCrash->m_hasUnreported = true;
 }
 
-void CrashWatch::onAnswered (ContentDigest content, Time now)
+void CrashDetector::onAnswered (ContentDigest content, Time now)
 {
     m_completedContents[content % completedTableSize] = content;
 
@@ -52,24 +52,24 @@
 
 /** Once a connection was refused the process is gone: any later answer comes from a new incarnation, which
     may announce itself only seconds later. */
-bool CrashWatch::canWithdraw() const noexcept
+bool CrashDetector::canWithdraw() const noexcept
 {
     return m_suspectedCrash.has_value() && ! m_suspectedCrash->m_isConfirmed;
 }
 
-void CrashWatch::onConnectionRefused() noexcept
+void CrashDetector::onConnectionRefused() noexcept
 {
     if (m_suspectedCrash.has_value())
         m_suspectedCrash->m_isConfirmed = true;
 }
 
-void CrashWatch::onAnnounced (Time now)
+void CrashDetector::onAnnounced (Time now)
 {
     if (canWithdraw() && now - m_suspectedCrash->m_at >= announcementGrace)
         withdraw();
 }
 
-void CrashWatch::onNewIncarnation (const std::vector<ContentDigest>& running, Time now)
+void CrashDetector::onNewIncarnation (const std::vector<ContentDigest>& running, Time now)
 {
     for (const auto content : running)
         onConnectionBroken (content, now);
@@ -83,7 +83,7 @@
 }
 
 /** Drops the suspected crash, since the target is still running. */
-void CrashWatch::withdraw()
+void CrashDetector::withdraw()
 {
     if (m_suspectedCrash->m_isReported)
         m_findings.push_back ({ m_suspectedCrash->m_number, m_suspectedCrash->m_at, true, {} });
@@ -91,7 +91,7 @@
     m_suspectedCrash.reset();
 }
 
-void CrashWatch::report()
+void CrashDetector::report()
 {
     if (! std::exchange (m_suspectedCrash->m_hasUnreported, false))
         return;
@@ -101,7 +101,7 @@
         { m_suspectedCrash->m_number, m_suspectedCrash->m_at, false, m_suspectedCrash->m_suspects });
 }
 
-std::vector<CrashWatch::Finding> CrashWatch::takeFindings (Time now)
+std::vector<CrashDetector::Finding> CrashDetector::takeFindings (Time now)
 {
     if (m_suspectedCrash.has_value() &&
         (m_suspectedCrash->m_isConfirmed || now - m_suspectedCrash->m_at >= confirmationDelay))
--- a/modules/plankledge_policy/relay/crashes/CrashWatch.h
+++ b/modules/plankledge_policy/relay/crashes/CrashDetector.h
@@ -25,7 +25,7 @@
 
     Not thread-safe.
 */
-class CrashWatch
+class CrashDetector
 {
 public:
     //==============================================================================
@@ -52,7 +52,7 @@
         auto operator<=> (const Finding&) const = default;
     };
 
-    CrashWatch();
+    CrashDetector();
 
     //==============================================================================
     /** The connection of a running request broke before its answer was complete. */
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.h
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
-#include "plankledge_policy/relay/crashes/CrashLedger.h"
-#include "plankledge_policy/relay/crashes/CrashWatch.h"
+#include "plankledge_policy/relay/crashes/CrashDetector.h"
+#include "plankledge_policy/relay/crashes/CrashHistory.h"
 #include "plankledge_policy/relay/peers/PeerTable.h"
 
 #include <map>
@@ -21,7 +21,7 @@
     New reports are sent to every reachable peer at once. Hello and status messages carry a digest of the
     crash history, so that a node that missed a report, or has just started, requests the complete history.
 
-    @see CrashLedger, CrashWatch
+    @see CrashHistory, CrashDetector
 */
 class CrashGuard
 {
@@ -34,7 +34,7 @@
     CrashGuard (const NodeId& self, PeerTable& peers);
 
     //==============================================================================
-    CrashWatch& detector() noexcept { return m_detector; }
+    CrashDetector& detector() noexcept { return m_detector; }
 
     /** Called when this node's target has completed a request. */
     void onAnswered (Turn& turn, ContentDigest content);
@@ -61,7 +61,7 @@
     void onDigest (Turn& turn, const Peer& peer, std::uint64_t digest);
 
     std::uint64_t digest() const noexcept { return m_crashHistory.digest(); }
-    const CrashLedger& crashHistory() const noexcept { return m_crashHistory; }
+    const CrashHistory& crashHistory() const noexcept { return m_crashHistory; }
 
 private:
     //==============================================================================
@@ -70,8 +70,8 @@
 
     const NodeId m_self;
     PeerTable& m_peers;
-    CrashWatch m_detector;
-    CrashLedger m_crashHistory;
+    CrashDetector m_detector;
+    CrashHistory m_crashHistory;
     Time m_lastExpiryAt;
     CrashUpdate m_pendingUpdate;                  /**< found by this node and not yet sent */
     std::map<InstanceName, Time> m_mismatchSince; /**< by peer; only peers whose digest differs */
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashHistory.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/crashes/CrashLedger.h"
+#include "plankledge_policy/relay/crashes/CrashHistory.h"
 
 #include "plankledge_core/Hash.h"
 
@@ -11,22 +11,22 @@
 {
 
 /** Acquittals are kept so that delayed reports of earlier crashes are ignored. */
-constexpr std::size_t maxAcquittals = CrashLedger::maxSuspects;
+constexpr std::size_t maxAcquittals = CrashHistory::maxSuspects;
 
 Duration holdDuration (std::size_t crashes) noexcept
 {
-    auto hold = CrashLedger::initialHold;
+    auto hold = CrashHistory::initialHold;
 
-    for (auto more = crashes; more > CrashLedger::holdThreshold && hold < CrashLedger::maxHold; --more)
+    for (auto more = crashes; more > CrashHistory::holdThreshold && hold < CrashHistory::maxHold; --more)
         hold *= 2;
 
-    return std::min (hold, CrashLedger::maxHold);
+    return std::min (hold, CrashHistory::maxHold);
 }
 
 } // namespace
 
 //==============================================================================
-bool CrashLedger::add (const CrashReport& report, Time now)
+bool CrashHistory::add (const CrashReport& report, Time now)
 {
     if (report.m_age >= retentionPeriod)
         return false;
@@ -59,7 +59,7 @@
     return hasChanged;
 }
 
-void CrashLedger::addSuspect (const CrashId& id, Crash& crash, ContentDigest content)
+void CrashHistory::addSuspect (const CrashId& id, Crash& crash, ContentDigest content)
 {
     const auto acquitted = m_acquitted.find (content);
     const bool isCleared = acquitted != m_acquitted.end() && crash.m_at <= acquitted->second;
@@ -75,7 +75,7 @@
         m_newlyHeld.emplace_back (content, crashIds.size());
 }
 
-void CrashLedger::withdraw (const CrashId& id, Crash& crash)
+void CrashHistory::withdraw (const CrashId& id, Crash& crash)
 {
     const auto suspects = crash.m_suspects;
 
@@ -87,7 +87,7 @@
     toggleInDigest (id, true);
 }
 
-void CrashLedger::removeSuspect (const CrashId& id, ContentDigest content)
+void CrashHistory::removeSuspect (const CrashId& id, ContentDigest content)
 {
     m_suspectCount -= m_crashes.at (id).m_suspects.erase (content);
     const auto suspect = m_suspects.find (content);
@@ -102,7 +102,7 @@
 }
 
 //==============================================================================
-bool CrashLedger::add (const CrashAcquittal& acquittal, Time now)
+bool CrashHistory::add (const CrashAcquittal& acquittal, Time now)
 {
     if (acquittal.m_age >= retentionPeriod)
         return false;
@@ -143,7 +143,7 @@
 }
 
 //==============================================================================
-HoldStatus CrashLedger::holdStatus (ContentDigest content, Time now) const
+HoldStatus CrashHistory::holdStatus (ContentDigest content, Time now) const
 {
     const auto found = m_suspects.find (content);
 
@@ -158,7 +158,7 @@
     return { HoldState::onTrial, {} };
 }
 
-Time CrashLedger::newestCrashTime (const CrashIds& crashIds) const
+Time CrashHistory::newestCrashTime (const CrashIds& crashIds) const
 {
     Time newest;
 
@@ -168,12 +168,12 @@
     return newest;
 }
 
-std::vector<std::pair<ContentDigest, std::size_t>> CrashLedger::takeNewlyHeld()
+std::vector<std::pair<ContentDigest, std::size_t>> CrashHistory::takeNewlyHeld()
 {
     return std::exchange (m_newlyHeld, {});
 }
 
-std::size_t CrashLedger::held() const noexcept
+std::size_t CrashHistory::held() const noexcept
 {
     return static_cast<std::size_t> (
         std::count_if (m_suspects.begin(), m_suspects.end(),
@@ -181,7 +181,7 @@
 }
 
 //==============================================================================
-void CrashLedger::removeExpired (Time now)
+void CrashHistory::removeExpired (Time now)
 {
     std::vector<CrashId> expired;
 
@@ -201,7 +201,7 @@
     });
 }
 
-void CrashLedger::remove (const CrashId& id)
+void CrashHistory::remove (const CrashId& id)
 {
     auto& crash = m_crashes.at (id);
     const auto suspects = crash.m_suspects;
@@ -213,7 +213,7 @@
     m_crashes.erase (id);
 }
 
-void CrashLedger::enforceSuspectLimit()
+void CrashHistory::enforceSuspectLimit()
 {
     while (m_suspectCount > maxSuspects)
     {
@@ -225,7 +225,7 @@
     }
 }
 
-CrashUpdate CrashLedger::snapshot (Time now) const
+CrashUpdate CrashHistory::snapshot (Time now) const
 {
     CrashUpdate update;
 
@@ -242,7 +242,7 @@
 }
 
 /** Adds a crash in the given state to the digest, or removes it if it is included already. */
-void CrashLedger::toggleInDigest (const CrashId& id, bool isWithdrawn) noexcept
+void CrashHistory::toggleInDigest (const CrashId& id, bool isWithdrawn) noexcept
 {
     const auto weight = rendezvousWeight (id.m_number, id.m_reporter.m_instance);
     m_digest ^= rendezvousWeight (weight + id.m_reporter.m_incarnation, isWithdrawn ? "withdrawn" : "ended");
--- a/modules/plankledge_policy/relay/crashes/CrashLedger.h
+++ b/modules/plankledge_policy/relay/crashes/CrashHistory.h
@@ -47,9 +47,9 @@
 
     Not thread-safe.
 
-    @see CrashWatch, CrashGuard
+    @see CrashDetector, CrashGuard
 */
-class CrashLedger
+class CrashHistory
 {
 public:
     //==============================================================================
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -155,7 +155,7 @@
     const bool isChange = isFollowing != m_isFollowing;
     m_isFollowing = isFollowing;
     m_readWait = wait;
-    const auto reading = isFollowing ? TopicReadMode::follow : TopicReadMode::rest;
+    const auto reading = isFollowing ? TopicReadMode::follow : TopicReadMode::stop;
     turn.emit (ReadTopic { StoreTopic::members, reading, m_directory.end(), {} });
     turn.emit (ReadTopic { StoreTopic::routes, reading, {}, wait });
 
@@ -210,7 +210,7 @@
 
     // The update contains all records, so the listing in progress is no longer needed.
     if (! m_directory.end().isKnown() && ! m_isFollowing)
-        turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::rest, {}, {} });
+        turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::stop, {}, {} });
 
     const MembersRead read { told.m_members, told.m_withdrawn, {}, told.m_end };
     m_directory.apply (read);
--- a/modules/plankledge_runtime/NodeMetrics.cpp
+++ b/modules/plankledge_runtime/NodeMetrics.cpp
@@ -215,8 +215,8 @@
                      static_cast<double> (time.m_time.count()) / 1000.0);
 
     appendGauge (text, "target_failure_permille", gate.m_failurePermille);
-    appendGauge (text, "crashes_remembered", static_cast<double> (relay.crashes().ledger().crashes()));
-    appendGauge (text, "contents_held", static_cast<double> (relay.crashes().ledger().held()));
+    appendGauge (text, "crashes_remembered", static_cast<double> (relay.crashes().crashHistory().crashes()));
+    appendGauge (text, "contents_held", static_cast<double> (relay.crashes().crashHistory().held()));
 
     if (const auto age = relay.keys().age (now); age.has_value())
         appendGauge (text, "configuration_proof_age_milliseconds",
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -163,7 +163,7 @@
         if (error)
         {
             if (m_active.erase (call) > 0)
-                m_done (call, TargetFailure::refusedConnection);
+                m_done (call, TargetFailure::connectionRefused);
 
             co_return nullptr;
         }
--- a/tests/relay/crashes/CrashWatch_test.cpp
+++ b/tests/relay/crashes/CrashDetector_test.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/crashes/CrashWatch.h"
+#include "plankledge_policy/relay/crashes/CrashDetector.h"
 
 #include <doctest/doctest.h>
 #include <functional>
@@ -15,12 +15,12 @@
 constexpr Duration window = Milliseconds (100);
 const Time start { std::chrono::hours (1) };
 
-/** A CrashWatch whose findings are collected every 100 ms, as a node does. */
+/** A CrashDetector whose findings are collected every 100 ms, as a node does. */
 struct WatchHarness
 {
-    CrashWatch m_detector;
+    CrashDetector m_detector;
     Time m_now = start;
-    std::vector<CrashWatch::Finding> m_findings;
+    std::vector<CrashDetector::Finding> m_findings;
 
     void advance (Duration duration)
     {
@@ -79,13 +79,13 @@
     { "a connection breaks at an idle target",
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
-          harness.advance (CrashWatch::confirmationDelay);
+          harness.advance (CrashDetector::confirmationDelay);
       },
       { first } },
     { "an idle target that lost an answer announces itself later",
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
-          harness.advance (CrashWatch::announcementGrace);
+          harness.advance (CrashDetector::announcementGrace);
           harness.announce();
           harness.advance (window);
       },
@@ -147,13 +147,13 @@
           harness.answer (popular);
           harness.restart();
           harness.breakConnection (popular);
-          harness.advance (CrashWatch::confirmationDelay);
+          harness.advance (CrashDetector::confirmationDelay);
       },
       { popular } },
     { "another connection breaks after the crash was reported",
       [] (WatchHarness& harness) {
           harness.breakConnection (first);
-          harness.advance (CrashWatch::confirmationDelay);
+          harness.advance (CrashDetector::confirmationDelay);
           harness.breakConnection (second);
           harness.advance (window);
       },
@@ -180,12 +180,12 @@
 {
     WatchHarness harness;
     harness.breakConnection (first);
-    harness.advance (CrashWatch::confirmationDelay);
+    harness.advance (CrashDetector::confirmationDelay);
     harness.breakConnection (second);
     harness.advance (window);
     harness.restart();
     harness.breakConnection (first);
-    harness.advance (CrashWatch::confirmationDelay);
+    harness.advance (CrashDetector::confirmationDelay);
     REQUIRE (harness.m_findings.size() == 3);
     CHECK (harness.m_findings[0].m_number == harness.m_findings[1].m_number);
     CHECK (harness.m_findings[1].m_number != harness.m_findings[2].m_number);
--- a/tests/relay/crashes/CrashLedger_test.cpp
+++ b/tests/relay/crashes/CrashHistory_test.cpp
@@ -1,5 +1,5 @@
 #include "plankledge_core/Random.h"
-#include "plankledge_policy/relay/crashes/CrashLedger.h"
+#include "plankledge_policy/relay/crashes/CrashHistory.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -29,9 +29,9 @@
 }
 
 /** @returns a history of crashes of targets that ran the crashing request, one second apart */
-CrashLedger historyAfter (std::uint64_t crashes)
+CrashHistory historyAfter (std::uint64_t crashes)
 {
-    CrashLedger history;
+    CrashHistory history;
 
     for (std::uint64_t number = 0; number < crashes; ++number)
         history.add (crash (number, { crashing }), start + seconds (number));
@@ -44,7 +44,7 @@
 //==============================================================================
 TEST_CASE ("a request is held after the third crash, and one that ran beside it in only two of them is not")
 {
-    CrashLedger history;
+    CrashHistory history;
     history.add (crash (1, { crashing, unrelated }), start);
     history.add (crash (2, { crashing, unrelated }), start);
     CHECK (history.holdStatus (crashing, start).m_holdState == HoldState::clear);
@@ -56,7 +56,7 @@
 
 TEST_CASE ("a crash counts once, however often it is reported")
 {
-    CrashLedger history;
+    CrashHistory history;
     CHECK (history.add (crash (1, { crashing }), start));
     CHECK (! history.add (crash (1, { crashing }), start));
     CHECK (history.add (crash (1, { crashing, unrelated }), start));
@@ -114,7 +114,7 @@
 
 TEST_CASE ("the number of suspects is limited, and the oldest crashes are removed first")
 {
-    CrashLedger history;
+    CrashHistory history;
     constexpr std::uint64_t suspectsPerCrash = 100;
     constexpr std::uint64_t crashes = 400;
 
@@ -128,10 +128,10 @@
         history.add (crash (number, suspects), start + seconds (number));
     }
 
-    CHECK (history.crashes() == CrashLedger::maxSuspects / suspectsPerCrash);
+    CHECK (history.crashes() == CrashHistory::maxSuspects / suspectsPerCrash);
     CHECK (! history.isSuspect (1000));
     CHECK (history.isSuspect (1000 + crashes * suspectsPerCrash - 1));
-    history.removeExpired (start + CrashLedger::retentionPeriod + seconds (crashes));
+    history.removeExpired (start + CrashHistory::retentionPeriod + seconds (crashes));
     CHECK (history.crashes() == 0);
     CHECK (history.digest() == 0);
 }
@@ -162,7 +162,7 @@
 
         const auto end = start + minutes (1);
         const auto replay = [&] {
-            CrashLedger history;
+            CrashHistory history;
 
             for (const auto& [item, at] : messages)
                 std::visit (
@@ -186,7 +186,7 @@
             CHECK (one.holdStatus (content, end) == other.holdStatus (content, end));
 
         // A node with an empty history that receives the complete one ends up with the same digest.
-        CrashLedger third;
+        CrashHistory third;
         const auto snapshot = one.snapshot (end);
 
         for (const auto& report : snapshot.m_crashes)
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/relay/crashes/CrashLedger.h"
+#include "plankledge_policy/relay/crashes/CrashHistory.h"
 #include "support/CrashSite.h"
 
 #include <algorithm>
@@ -78,7 +78,7 @@
     const auto& result = site.answers().at (ticket).m_result;
     CHECK (result.m_outcome == Outcome::notRun);
     CHECK (result.m_reason == Reason::crashesTargets);
-    CHECK (result.m_retryAfter > CrashLedger::initialHold - seconds (10));
+    CHECK (result.m_retryAfter > CrashHistory::initialHold - seconds (10));
     CHECK (site.runsOf ("asks").empty());
     CHECK (site.answers().at (other).m_result.m_reason != Reason::crashesTargets);
 }
@@ -167,7 +167,7 @@
     SmallSite site;
     site.runUnderLoad (seconds (8), 200, [&] { site.sendToRandomNode (crashingPath); });
     auto crashes = site.crashes().size();
-    site.runUnderLoad (CrashLedger::initialHold * 8, 2);
+    site.runUnderLoad (CrashHistory::initialHold * 8, 2);
     REQUIRE (site.crashes().size() == crashes);
 
     // The request still crashes its target: ten at once, and then ten a second.
@@ -182,7 +182,7 @@
     // A fixed version of the targets completes it.
     crashes = site.crashes().size();
     site.disableCrashes();
-    site.runUnderLoad (CrashLedger::maxHold, 1);
+    site.runUnderLoad (CrashHistory::maxHold, 1);
     site.sendToRandomNode (crashingPath);
     site.runUnderLoad (seconds (1), 10);
     std::vector<Ticket> tickets;
--- a/tests/support/StoreFleet.cpp
+++ b/tests/support/StoreFleet.cpp
@@ -150,7 +150,7 @@
 /** A blocking read is never answered if the store becomes unreachable meanwhile; it ends by its timeout. */
 void StoreFleet::readOne (const InstanceName& instance, StoreTopic topic, Reader& reader)
 {
-    if (reader.m_readMode == TopicReadMode::rest || now() < reader.m_notBefore)
+    if (reader.m_readMode == TopicReadMode::stop || now() < reader.m_notBefore)
         return;
 
     if (! reader.m_isWaiting)
@@ -214,7 +214,7 @@
         return confirm (instance, topic, reader); // timed out without new records
 
     if (reader.m_readMode == TopicReadMode::once)
-        reader.m_readMode = TopicReadMode::rest;
+        reader.m_readMode = TopicReadMode::stop;
 
     if (topic == StoreTopic::routes)
     {
--- a/tests/support/StoreFleet.h
+++ b/tests/support/StoreFleet.h
@@ -63,7 +63,7 @@
     /** State of a node's reads of one topic. */
     struct Reader
     {
-        TopicReadMode m_readMode = TopicReadMode::rest;
+        TopicReadMode m_readMode = TopicReadMode::stop;
         StorePosition m_next; /**< of the next read; unknown if the topic is to be listed */
         Time m_notBefore;     /**< earliest time of the next call */
         Time m_waitingSince;  /**< start of the blocking read */
