--- a/modules/plankledge_policy/KeyedRequests.cpp
+++ b/modules/plankledge_policy/KeyedRequests.cpp
@@ -66,7 +66,7 @@
 
 void KeyedRequests::onPause()
 {
-    m_inbound.gate().refuseBufferedUntil (m_turn.now() + staleInputPeriod);
+    m_inbound.gate().refuseStaleInputUntil (m_turn.now() + staleInputPeriod);
 }
 
 //==============================================================================
@@ -90,16 +90,16 @@
     case TimerKind::listPoll:
         return onListPollTimer();
     case TimerKind::logPoll:
-        return m_configuration.onPollTime (m_turn, m_membership.size());
+        return m_configuration.onPollTimer (m_turn, m_membership.size());
     case TimerKind::join:
-        return m_join.onTime (m_turn);
+        return m_join.onTimer (m_turn);
     case TimerKind::shedWindow:
         m_inbound.onWindowEnd (m_turn);
         return m_timers.set (m_turn.now() + ShedThreshold::window, TimerKind::shedWindow);
     case TimerKind::drain:
-        return m_drain.onTime (m_turn);
+        return m_drain.onTimer (m_turn);
     case TimerKind::checkpoint:
-        return m_configuration.onCheckpointTime (m_turn);
+        return m_configuration.onCheckpointTimer (m_turn);
     case TimerKind::housekeeping:
         m_inbound.records().removeExpired (m_turn.now());
         m_membership.removeExpired (m_turn.now());
@@ -163,7 +163,7 @@
     if (m_drain.refusesNewCalls() && ! event.m_isOutbound)
         return OutgoingCalls::refuse (m_turn, event, Reason::draining);
 
-    if (m_inbound.gate().isLate (m_turn.now()))
+    if (m_inbound.gate().isInputStale (m_turn.now()))
         return OutgoingCalls::refuse (m_turn, event, Reason::deadlineExceeded);
 
     m_outgoing.receive (m_turn, event);
@@ -173,13 +173,13 @@
 {
     m_join.onPeerUnreachable (event.m_instance);
     m_drain.onPeerUnreachable (event.m_instance);
-    m_inbound.inquiries().onPeerGone (m_turn, event.m_instance);
+    m_inbound.inquiries().onPeerUnavailable (m_turn, event.m_instance);
     m_outgoing.onPeerUnreachable (m_turn, event.m_instance, event.m_calls);
 }
 
 void KeyedRequests::handle (const PeerLost& event)
 {
-    m_inbound.inquiries().onPeerGone (m_turn, event.m_instance);
+    m_inbound.inquiries().onPeerUnavailable (m_turn, event.m_instance);
     m_outgoing.onPeerLost (m_turn, event.m_instance);
 }
 
@@ -221,10 +221,10 @@
 
 void KeyedRequests::handle (const ListReceived& event)
 {
-    for (const auto& gone : m_membership.onList (event.m_instances, m_settings, m_turn.now()))
+    for (const auto& removed : m_membership.onList (event.m_instances, m_settings, m_turn.now()))
     {
-        m_router.forget (gone.m_instance);
-        m_turn.emit (WriteLog { Notice::memberLost, gone.m_instance, 0 });
+        m_router.forget (removed.m_instance);
+        m_turn.emit (WriteLog { Notice::memberLost, removed.m_instance, 0 });
     }
 
     m_join.onListRead (m_turn);
@@ -273,7 +273,7 @@
 
 void KeyedRequests::onMessage (LinkId, const NodeId& from, const Heartbeat& message)
 {
-    if (m_membership.learn (message.m_member, m_turn.now()))
+    if (m_membership.merge (message.m_member, m_turn.now()))
         m_gossip.addUpdate (message.m_member);
 
     m_membership.onDigest (from.m_instance, message.m_membersDigest, m_turn.now());
@@ -293,7 +293,7 @@
 void KeyedRequests::onMessage (LinkId link, const NodeId& from, const LeaveNotice& message)
 {
     for (const auto& member : message.m_members)
-        m_membership.learn (member, m_turn.now());
+        m_membership.merge (member, m_turn.now());
 
     m_membership.onLeft (message.m_id, m_turn.now());
     m_router.forget (message.m_id.m_instance);
--- a/modules/plankledge_policy/NodeSettings.h
+++ b/modules/plankledge_policy/NodeSettings.h
@@ -47,13 +47,15 @@
 
     Duration m_heartbeatPeriod = std::chrono::seconds (2);
     Duration m_gossipPeriod = Milliseconds (500);
-    Duration m_listPeriod = std::chrono::seconds (2);     /**< minimum; grows with the cluster */
-    Duration m_logPeriod = std::chrono::seconds (1);      /**< minimum; grows with the cluster */
-    Duration m_joinPeriod = Milliseconds (500);           /**< between join requests */
-    Duration m_drainGrace = std::chrono::seconds (1);     /**< a leaving node accepts calls for this long */
-    Duration m_drainTimeout = std::chrono::seconds (40);  /**< a leaving node then exits with calls running */
-    Duration m_listLagBound = std::chrono::seconds (30);  /**< maximum delay until an instance is listed */
-    Duration m_silenceTimeout = std::chrono::seconds (5); /**< until an unlisted member is removed */
+    Duration m_listPeriod = std::chrono::seconds (2); /**< minimum; grows with the cluster */
+    Duration m_logPeriod = std::chrono::seconds (1);  /**< minimum; grows with the cluster */
+    Duration m_joinPeriod = Milliseconds (500);       /**< between join requests */
+    Duration m_drainGrace = std::chrono::seconds (1); /**< a leaving node accepts calls for this long */
+    Duration m_drainTimeout =
+        std::chrono::seconds (40); /**< after which a leaving node exits although calls are running */
+    Duration m_listLagBound = std::chrono::seconds (30); /**< maximum delay of the list of instances */
+    Duration m_silenceTimeout =
+        std::chrono::seconds (5); /**< an unlisted member is removed after sending nothing for this long */
     Duration m_checkpointPeriod = std::chrono::seconds (60); /**< between checkpoints of the declarations */
     Duration m_pauseThreshold = Milliseconds (700); /**< longest gap between events without a pause */
     std::uint32_t m_maxRecords = 100000;            /**< maximum number of idempotency records */
--- a/modules/plankledge_policy/TimerQueue.h
+++ b/modules/plankledge_policy/TimerQueue.h
@@ -28,7 +28,7 @@
     relayQueueTimeout, /**< end of a request's wait for a target at its entry node */
     gateDeadline,      /**< deadline of a request in the gate */
     gateQueueTimeout,  /**< end of a request's wait in the gate */
-    relayWindow,       /**< retries held requests and detects silent peers */
+    relayWindow,       /**< retries queued requests and detects unreachable peers */
     admissionPeriod,   /**< updates the admission level of the gate */
     peerHello,
     relayStop
--- a/modules/plankledge_policy/Turn.h
+++ b/modules/plankledge_policy/Turn.h
@@ -45,7 +45,8 @@
     /** Removes and returns the effects of this turn. */
     Effects takeEffects() { return std::exchange (m_effects, {}); }
 
-    /** @returns the duration plus a random 0 to 100 % of it, so that nodes and callers don't act in step */
+    /** @returns the duration plus a random 0 to 100 % of it, so that nodes and callers don't act
+     * simultaneously */
     Duration jittered (Duration duration)
     {
         return duration + Duration (static_cast<Duration::rep> (
--- a/modules/plankledge_policy/admission/Admission.cpp
+++ b/modules/plankledge_policy/admission/Admission.cpp
@@ -10,11 +10,11 @@
 {
 
 constexpr std::uint32_t baselineQueueLength = 100000;
-constexpr Duration minAcceptableWait = Milliseconds (5);
+constexpr Duration minAcceptableQueueTime = Milliseconds (5);
 
-/** Classes below the most important may wait this fraction of the service time: a queue of a quarter of the
-    slots is enough to keep all of them busy. */
-constexpr int acceptableWaitDivisor = 4;
+/** Divides the service time, which gives the acceptable queueing time of all classes but the most important:
+    a queue of a quarter of the slots is enough to keep all of them busy. */
+constexpr int acceptableQueueTimeDivisor = 4;
 
 constexpr double utilisationWeight = 0.3;
 constexpr int serviceTimeDivisor = 8; // weight of a new service time: 1/8
@@ -39,7 +39,7 @@
     const bool mustWait = m_inUse >= m_limit.limit();
     const auto ahead = m_queue.countAhead (entry.m_rank, entry.m_isNested);
 
-    if (! m_isBaseline && mustWait && expectedWait (ahead) + m_serviceTime > timeLeft)
+    if (! m_isBaseline && mustWait && expectedQueueTime (ahead) + m_serviceTime > timeLeft)
     {
         m_threshold.onCapacityRefusal (entry.m_rank);
         return { Reason::wouldMissDeadline, std::nullopt };
@@ -74,11 +74,11 @@
     return call;
 }
 
-void Admission::onDispatched (Rank rank, Duration waited)
+void Admission::onDispatched (Rank rank, Duration queueTime)
 {
-    auto& waits = m_waits[rank / cohortsPerClass];
-    waits.m_sum += waited;
-    ++waits.m_count;
+    auto& queueTimes = m_queueTimes[rank / cohortsPerClass];
+    queueTimes.m_sum += queueTime;
+    ++queueTimes.m_count;
 }
 
 void Admission::onSlotFreed (std::optional<Duration> serviceTime)
@@ -104,26 +104,26 @@
                       static_cast<double> (ShedThreshold::window.count()) /
                       static_cast<double> (std::max<Duration::rep> (1, m_serviceTime.count()));
 
-    for (std::size_t index = 0; index < load.m_waits.size(); ++index)
+    for (std::size_t index = 0; index < load.m_queueTimes.size(); ++index)
     {
-        load.m_waits[index] = averageWait (index);
-        load.m_acceptableWaits[index] = acceptableWait (index);
+        load.m_queueTimes[index] = averageQueueTime (index);
+        load.m_acceptableQueueTimes[index] = acceptableQueueTime (index);
     }
 
-    m_waits.fill ({});
+    m_queueTimes.fill ({});
     return m_threshold.update (load);
 }
 
-Duration Admission::averageWait (std::size_t priorityClass) const noexcept
+Duration Admission::averageQueueTime (std::size_t priorityClass) const noexcept
 {
-    const auto& waits = m_waits[priorityClass];
+    const auto& queueTimes = m_queueTimes[priorityClass];
 
-    if (waits.m_count > 0)
-        return waits.m_sum / waits.m_count;
+    if (queueTimes.m_count > 0)
+        return queueTimes.m_sum / queueTimes.m_count;
 
-    // No call of the class got a slot in this window: estimate the wait from the queue.
+    // No call of the class was dispatched in this window: estimate the queueing time from the queue.
     const auto queued = m_queue.countOf (priorityClass);
-    return queued > 0 ? expectedWait (queued) : Duration::zero();
+    return queued > 0 ? expectedQueueTime (queued) : Duration::zero();
 }
 
 //==============================================================================
@@ -133,16 +133,16 @@
     return static_cast<std::uint16_t> (std::min<std::size_t> (65535, busy / std::max (1U, m_limit.limit())));
 }
 
-Duration Admission::expectedWait (std::size_t ahead) const noexcept
+Duration Admission::expectedQueueTime (std::size_t ahead) const noexcept
 {
     return m_serviceTime * static_cast<Duration::rep> (ahead + 1) /
            static_cast<Duration::rep> (std::max (1U, m_limit.limit()));
 }
 
-Duration Admission::acceptableWait (std::size_t priorityClass) const noexcept
+Duration Admission::acceptableQueueTime (std::size_t priorityClass) const noexcept
 {
-    const auto divisor = priorityClass == 0 ? 1 : acceptableWaitDivisor;
-    return std::max (minAcceptableWait, m_serviceTime / divisor);
+    const auto divisor = priorityClass == 0 ? 1 : acceptableQueueTimeDivisor;
+    return std::max (minAcceptableQueueTime, m_serviceTime / divisor);
 }
 
 double Admission::updateUtilisation() noexcept
--- a/modules/plankledge_policy/admission/Admission.h
+++ b/modules/plankledge_policy/admission/Admission.h
@@ -54,7 +54,7 @@
     */
     std::optional<CallId> takeNext();
 
-    void onDispatched (Rank rank, Duration waited);
+    void onDispatched (Rank rank, Duration queueTime);
 
     /** Releases a slot.
 
@@ -90,16 +90,16 @@
 
 private:
     //==============================================================================
-    /** Queueing times of the calls that got a slot. */
-    struct Waits
+    /** Queueing times of the calls that were dispatched. */
+    struct QueueTimes
     {
         Duration m_sum {};
         std::uint32_t m_count = 0;
     };
 
-    Duration averageWait (std::size_t priorityClass) const noexcept;
-    Duration expectedWait (std::size_t ahead) const noexcept;
-    Duration acceptableWait (std::size_t priorityClass) const noexcept;
+    Duration averageQueueTime (std::size_t priorityClass) const noexcept;
+    Duration expectedQueueTime (std::size_t ahead) const noexcept;
+    Duration acceptableQueueTime (std::size_t priorityClass) const noexcept;
     double updateUtilisation() noexcept;
 
     bool m_isBaseline;
@@ -108,10 +108,10 @@
     AdmissionQueue m_queue;
     std::uint32_t m_queueLength = 0;
     std::uint32_t m_inUse = 0;
-    Duration m_serviceTime {};                     /**< moving average; 0 before the first answer */
-    std::array<Waits, priorityClassCount> m_waits; /**< in this window, by class */
-    Duration m_slotTime {};                        /**< service time of the calls that ended in this window */
-    double m_utilisation = 0.0;                    /**< moving average */
+    Duration m_serviceTime {};                               /**< moving average; 0 before the first answer */
+    std::array<QueueTimes, priorityClassCount> m_queueTimes; /**< in this window, by class */
+    Duration m_slotTime {};     /**< service time of the calls that ended in this window */
+    double m_utilisation = 0.0; /**< moving average */
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/admission/AdmissionQueue.h
+++ b/modules/plankledge_policy/admission/AdmissionQueue.h
@@ -10,7 +10,7 @@
 
 //==============================================================================
 /**
-    Priority queue of the calls that wait for a slot of this node's target.
+    Priority queue of the calls that wait for a slot of the local target.
 
     Ordered by class, then nested calls (made while serving another request) before
     root calls, then first in, first out.
--- a/modules/plankledge_policy/admission/RetryAfter.h
+++ b/modules/plankledge_policy/admission/RetryAfter.h
@@ -7,7 +7,7 @@
 namespace plankledge
 {
 
-/** Computes the Retry-After delay of a refusal. It is jittered, so that callers don't retry in step.
+/** Computes the Retry-After delay of a refusal. It is jittered, so that callers don't retry simultaneously.
 
     @param attempt   number of the caller's attempt, from 1; 0 counts as 1. Under overload the delay doubles
                      with each attempt, up to four times the first
--- a/modules/plankledge_policy/admission/ShedThreshold.cpp
+++ b/modules/plankledge_policy/admission/ShedThreshold.cpp
@@ -17,14 +17,14 @@
 constexpr double fullUtilisation = 0.97;
 constexpr unsigned holdWindowsAfterRefusal = 2;
 
-/** @returns the first rank of the most important class whose mean wait is not acceptable; admitAll if none */
+/** @returns the first rank of the most important class whose queueing time is too long; admitAll if none */
 Rank endOfAcceptableClasses (const ShedThreshold::Load& load) noexcept
 {
     Rank end = 0;
 
-    for (std::size_t index = 0; index < load.m_waits.size(); ++index)
+    for (std::size_t index = 0; index < load.m_queueTimes.size(); ++index)
     {
-        if (load.m_waits[index] > load.m_acceptableWaits[index])
+        if (load.m_queueTimes[index] > load.m_acceptableQueueTimes[index])
             break;
 
         end = static_cast<Rank> (end + cohortsPerClass);
--- a/modules/plankledge_policy/admission/ShedThreshold.h
+++ b/modules/plankledge_policy/admission/ShedThreshold.h
@@ -10,10 +10,10 @@
 /**
     Load shedding by rank: calls whose rank is below the threshold are admitted.
 
-    While calls wait too long for a slot, the threshold is set so that the load offered
+    While queueing times are too long, the threshold is set so that the load offered
     below it matches the capacity of the slots. A headroom factor corrects the estimate:
-    it decreases while calls still wait too long and increases while slots are idle.
-    Classes whose calls don't wait too long are not shed. A rank consists of a class and
+    it decreases while queueing times are still too long and increases while slots are
+    idle. Classes with acceptable queueing times are not shed. A rank consists of a class and
     a cohort, so less important classes are always refused first.
 
     Calls above the threshold are mostly refused by their callers' nodes and rarely
@@ -33,11 +33,11 @@
     /** Measurements of one window. */
     struct Load
     {
-        std::array<Duration, priorityClassCount> m_waits {}; /**< mean wait for a slot, by class */
+        std::array<Duration, priorityClassCount> m_queueTimes {}; /**< mean, by class */
         std::array<Duration, priorityClassCount>
-            m_acceptableWaits {};   /**< by class; a longer wait is overload */
-        double m_capacity = 0.0;    /**< calls that the slots can complete in a window */
-        double m_utilisation = 0.0; /**< of the slots, moving average; 1 when all are busy */
+            m_acceptableQueueTimes {}; /**< by class; a longer time means overload */
+        double m_capacity = 0.0;       /**< calls that the slots can complete in a window */
+        double m_utilisation = 0.0;    /**< of the slots, moving average; 1 when all are busy */
     };
 
     /** Counts an offered call.
--- a/modules/plankledge_policy/admission/ThresholdCache.cpp
+++ b/modules/plankledge_policy/admission/ThresholdCache.cpp
@@ -29,14 +29,14 @@
     return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * relaxationStep));
 }
 
-void ThresholdCache::onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold,
-                                 Time now)
+void ThresholdCache::onInstanceThreshold (const ServiceName& service, const InstanceName& instance,
+                                          Rank threshold, Time now)
 {
     m_instances[service][instance] = CachedThreshold { threshold, now };
 }
 
-void ThresholdCache::onDownstream (const ServiceName& service, const OperationName& operation,
-                                   const std::vector<ServiceThreshold>& downstream, Time now)
+void ThresholdCache::onDownstreamThresholds (const ServiceName& service, const OperationName& operation,
+                                             const std::vector<ServiceThreshold>& downstream, Time now)
 {
     if (downstream.empty())
         return;
--- a/modules/plankledge_policy/admission/ThresholdCache.h
+++ b/modules/plankledge_policy/admission/ThresholdCache.h
@@ -9,22 +9,23 @@
 
 //==============================================================================
 /**
-    Caches the shed thresholds that other nodes report on their answers, per instance
+    Caches the shed thresholds that other nodes report in their answers, per instance
     and for the downstream services of each operation.
 
     A cached threshold rises with its age: while all calls are refused locally no answer
-    can update it, so some calls must be let through to probe the service.
+    can update it, so some calls must be admitted to probe the service.
 */
 class ThresholdCache
 {
 public:
     //==============================================================================
     /** Stores the threshold that an instance of the service reported. */
-    void onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold, Time now);
+    void onInstanceThreshold (const ServiceName& service, const InstanceName& instance, Rank threshold,
+                              Time now);
 
-    /** Stores the thresholds of downstream services that an answer of the operation reported. */
-    void onDownstream (const ServiceName& service, const OperationName& operation,
-                       const std::vector<ServiceThreshold>& downstream, Time now);
+    /** Stores the thresholds of downstream services that were reported in an answer of the operation. */
+    void onDownstreamThresholds (const ServiceName& service, const OperationName& operation,
+                                 const std::vector<ServiceThreshold>& downstream, Time now);
 
     /** @returns the instance's threshold, relaxed by its age; admitAll if none is known */
     Rank ofInstance (const ServiceName& service, const InstanceName& instance, Time now) const;
--- a/modules/plankledge_policy/calls/InboundCall.h
+++ b/modules/plankledge_policy/calls/InboundCall.h
@@ -23,7 +23,7 @@
 namespace detail
 {
 
-/** A call to the local target, from its arrival to its answer. */
+/** A call to the local target that has no result yet. */
 struct InboundCall
 {
     enum class Stage : std::uint8_t
@@ -34,7 +34,8 @@
     };
 
     CallRequest m_request;
-    std::vector<Origin> m_waiters; /**< unused retries are returned to the first one, which granted them */
+    std::vector<Origin> m_origins; /**< wait for the result; the first one granted the retries and gets back
+                                      the unused ones */
     RetryBudget m_budget;
     Stage m_stage = Stage::queued;
     bool m_isRepeatable = true;
@@ -43,7 +44,7 @@
     Time m_deadline;
     Time m_queuedAt;
     Time m_dispatchedAt;
-    std::uint32_t m_children = 0; /**< calls that the target made on its behalf */
+    std::uint32_t m_children = 0; /**< nested calls that the target made while it served this one */
     Duration m_maxChildRetryAfter {};
     std::string m_requestId; /**< sent to the target, which copies it to its nested calls */
 };
--- a/modules/plankledge_policy/calls/InboundCallTable.cpp
+++ b/modules/plankledge_policy/calls/InboundCallTable.cpp
@@ -14,7 +14,7 @@
     call.m_requestId = fmt::format ("{:016x}-{:x}-{:x}", call.m_request.m_rootId, incarnation, id);
     m_byRequestId[call.m_requestId] = id;
 
-    for (const auto& origin : call.m_waiters)
+    for (const auto& origin : call.m_origins)
         m_byOrigin[origin] = id;
 
     m_calls.emplace (id, std::move (call));
@@ -64,19 +64,19 @@
 //==============================================================================
 void InboundCallTable::attach (CallId id, const Origin& origin)
 {
-    m_calls.at (id).m_waiters.push_back (origin);
+    m_calls.at (id).m_origins.push_back (origin);
     m_byOrigin[origin] = id;
 }
 
 void InboundCallTable::detach (CallId id, const Origin& origin)
 {
     m_byOrigin.erase (origin);
-    std::erase (m_calls.at (id).m_waiters, origin);
+    std::erase (m_calls.at (id).m_origins, origin);
 }
 
 std::vector<Origin> InboundCallTable::detachAll (CallId id)
 {
-    auto waiters = std::exchange (m_calls.at (id).m_waiters, {});
+    auto waiters = std::exchange (m_calls.at (id).m_origins, {});
 
     for (const auto& origin : waiters)
         m_byOrigin.erase (origin);
@@ -90,7 +90,7 @@
     auto& call = node.mapped();
     m_byRequestId.erase (call.m_requestId);
 
-    for (const auto& origin : call.m_waiters)
+    for (const auto& origin : call.m_origins)
         m_byOrigin.erase (origin);
 
     return std::move (call);
--- a/modules/plankledge_policy/calls/InboundCalls.cpp
+++ b/modules/plankledge_policy/calls/InboundCalls.cpp
@@ -68,7 +68,7 @@
 void InboundCalls::receive (Turn& turn, const Origin& origin, const CallRequest& request)
 {
     if (m_calls.findByOrigin (origin).has_value())
-        return; // the peer has reused a call id; it gets a single answer
+        return; // the peer has reused the id of a pending call
 
     const auto* service = m_hooks.m_declaration();
 
@@ -127,7 +127,7 @@
     if (record.m_bodyHash != hashText (request.m_content.m_body))
         return refuse (turn, origin, request, Reason::keyReusedWithOtherBody);
 
-    if (record.m_state == RecordState::completed || record.m_state == RecordState::broken)
+    if (record.m_state == RecordState::completed || record.m_state == RecordState::resultLost)
     {
         ++turn.counters().m_replayed;
         return answer (turn, origin, request, record.m_result, request.m_retryGrant);
@@ -155,7 +155,7 @@
         }
 
         const auto id = addCall (turn, origin, request, operation);
-        m_records.begin (key, RecordState::running, bodyHash, id, recordRetention (turn, operation));
+        m_records.add (key, RecordState::running, bodyHash, id, recordRetention (turn, operation));
         return enqueue (turn, id);
     }
 
@@ -172,7 +172,7 @@
 
     const auto id = addCall (turn, origin, request, operation);
     m_calls.at (id).m_stage = Stage::inquiring;
-    m_records.begin (key, RecordState::inquiring, bodyHash, id, recordRetention (turn, operation));
+    m_records.add (key, RecordState::inquiring, bodyHash, id, recordRetention (turn, operation));
     m_inquiries.startInquiry (turn, { id, key, age, maxTransitTime (operation), operation.m_recordWindow });
 }
 
@@ -201,8 +201,8 @@
 {
     const auto* record = m_records.find (inquiry.m_key);
 
-    // Of two nodes that inquire about the same key concurrently, at most one may run it: the local inquiry
-    // is aborted.
+    // At most one of two nodes that inquire about the same key concurrently may run the request: the local
+    // inquiry is aborted.
     if (record != nullptr && record->m_state == RecordState::inquiring && turn.mechanisms().m_fences)
         abortInquiry (turn, record->m_call);
 
@@ -243,7 +243,7 @@
 {
     Call call;
     call.m_request = request;
-    call.m_waiters = { origin };
+    call.m_origins = { origin };
     call.m_budget = RetryBudget (request.m_retryGrant);
     call.m_isRepeatable = operation.m_isRepeatable;
     call.m_key =
@@ -359,14 +359,14 @@
     if (result.m_outcome == Outcome::completed)
         m_records.complete (call.m_key, result, turn.now());
     else
-        m_records.setBroken (call.m_key, result, turn.now());
+        m_records.setResultLost (call.m_key, result, turn.now());
 }
 
 //==============================================================================
 void InboundCalls::cancel (Turn& turn, const Origin& origin)
 {
     if (const auto id = m_calls.findByOrigin (origin); id.has_value())
-        removeWaiter (turn, *id, origin);
+        removeOrigin (turn, *id, origin);
 }
 
 void InboundCalls::onLinkClosed (Turn& turn, LinkId link)
@@ -375,12 +375,12 @@
         cancel (turn, origin);
 }
 
-void InboundCalls::removeWaiter (Turn& turn, CallId id, const Origin& origin)
+void InboundCalls::removeOrigin (Turn& turn, CallId id, const Origin& origin)
 {
     const auto& call = m_calls.at (id);
     m_calls.detach (id, origin);
 
-    if (! call.m_waiters.empty())
+    if (! call.m_origins.empty())
         return;
 
     if (call.m_stage != Stage::running)
@@ -449,7 +449,8 @@
         refuseCall (turn, *refused, Reason::overloaded);
 
     // This node's own requests use the current threshold instead of the one in the last answer.
-    m_thresholds.onInstance (self.m_service, self.m_id.m_instance, m_admission.threshold(), turn.now());
+    m_thresholds.onInstanceThreshold (self.m_service, self.m_id.m_instance, m_admission.threshold(),
+                                      turn.now());
 }
 
 //==============================================================================
@@ -484,7 +485,7 @@
 
     auto remainingRetries = call.m_budget.remaining();
 
-    for (const auto& origin : call.m_waiters)
+    for (const auto& origin : call.m_origins)
     {
         answer (turn, origin, call.m_request, result, remainingRetries);
         remainingRetries = 0;
--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -20,7 +20,7 @@
 
     A non-repeatable call is first looked up in the idempotency records: a duplicate
     attaches to the running call or receives the stored result, and a retry whose key
-    is not known here runs only after an inquiry among the peers.
+    has no record on this node runs only after an inquiry to the peers.
 */
 class InboundCalls
 {
@@ -126,7 +126,7 @@
     void answer (Turn& turn, const Origin& origin, const CallRequest& request, const CallResult&,
                  RetryCount remainingRetries);
     void updateRecord (Turn& turn, const Call& call, const CallResult& result);
-    void removeWaiter (Turn& turn, CallId id, const Origin& origin);
+    void removeOrigin (Turn& turn, CallId id, const Origin& origin);
 
     const NodeSettings& m_settings;
     Membership& m_membership;
--- a/modules/plankledge_policy/calls/IntakeGate.h
+++ b/modules/plankledge_policy/calls/IntakeGate.h
@@ -8,7 +8,7 @@
 {
 
 //==============================================================================
-/** Decides whether a node accepts new calls at all, by its own state and the state of its target. */
+/** Decides whether a node accepts new calls, by its own state and the state of its target. */
 class IntakeGate
 {
 public:
@@ -19,8 +19,9 @@
     /** Refuses all new calls from the given time on; nullopt removes that limit. */
     void closeFrom (std::optional<Time> time) noexcept { m_closesAt = time; }
 
-    /** Refuses calls until the given time, since they were buffered while the process was paused. */
-    void refuseBufferedUntil (Time until) noexcept { m_bufferedUntil = until; }
+    /** Refuses calls that arrive before the given time: they were buffered while the process was paused, and
+        their deadlines may have passed. */
+    void refuseStaleInputUntil (Time until) noexcept { m_inputStaleUntil = until; }
 
     /** @returns whether the target's state changed */
     bool setTargetState (TargetState state) noexcept
@@ -34,12 +35,12 @@
     TargetState targetState() const noexcept { return m_targetState; }
 
     /** @returns whether calls that arrive now were buffered while the process was paused */
-    bool isLate (Time now) const noexcept { return now < m_bufferedUntil; }
+    bool isInputStale (Time now) const noexcept { return now < m_inputStaleUntil; }
 
     /** @returns why new calls are refused now; Reason::none if they are accepted */
     Reason refusal (Time now) const noexcept
     {
-        if (isLate (now))
+        if (isInputStale (now))
             return Reason::deadlineExceeded;
 
         const bool isLeaving = m_isClosed || (m_closesAt.has_value() && now >= *m_closesAt);
@@ -54,7 +55,7 @@
     //==============================================================================
     bool m_isClosed = false;
     std::optional<Time> m_closesAt;
-    Time m_bufferedUntil;
+    Time m_inputStaleUntil;
     TargetState m_targetState = TargetState::serving;
 };
 
--- a/modules/plankledge_policy/calls/OutgoingCalls.cpp
+++ b/modules/plankledge_policy/calls/OutgoingCalls.cpp
@@ -271,8 +271,9 @@
     }
 
     const auto& content = request.m_content;
-    m_thresholds.onInstance (content.m_service, from, answer.m_threshold, turn.now());
-    m_thresholds.onDownstream (content.m_service, content.m_operation, answer.m_downstream, turn.now());
+    m_thresholds.onInstanceThreshold (content.m_service, from, answer.m_threshold, turn.now());
+    m_thresholds.onDownstreamThresholds (content.m_service, content.m_operation, answer.m_downstream,
+                                         turn.now());
     m_router.onAnswered (from, answer.m_loadPermille);
 
     if (answer.m_result.m_reason == Reason::targetRefusedConnection)
@@ -475,8 +476,8 @@
                                                      request.m_content.m_operation, turn.now());
         downstream.push_back ({ request.m_content.m_service,
                                 m_thresholds.ofService (request.m_content.m_service, turn.now()) });
-        m_thresholds.onDownstream (m_settings.m_self.m_service, request.m_parentOperation, downstream,
-                                   turn.now());
+        m_thresholds.onDownstreamThresholds (m_settings.m_self.m_service, request.m_parentOperation,
+                                             downstream, turn.now());
         m_inbound.onChildEnded (*request.m_parent, result);
     }
 
--- a/modules/plankledge_policy/configuration/ConfigurationStateMachine.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationStateMachine.cpp
@@ -64,7 +64,7 @@
                                                  std::vector<DecidedProposal>& decided)
 {
     if (record.m_version >= m_state.m_version)
-        m_lastRestatement = record.m_offset;
+        m_lastVersionOffset = record.m_offset;
 
     const bool coversGap = record.m_asOfOffset + 1 >= m_coveredFrom;
 
@@ -102,7 +102,7 @@
 
     m_declarations = *std::move (declarations);
     m_state = { proposal.m_version + 1, proposal.m_offset, proposal.m_text };
-    m_lastRestatement = proposal.m_offset;
+    m_lastVersionOffset = proposal.m_offset;
     return { proposal.m_id, ProposalVerdict::accepted, m_state.m_version };
 }
 
@@ -121,7 +121,7 @@
 {
     if (state.m_version == m_state.m_version && ! canDecide())
     {
-        // The same version at a later offset: this node's gap no longer matters.
+        // The same version at a later offset closes the gap in the records that this node has read.
         if (state.m_asOfOffset + 1 >= m_coveredFrom)
             m_state.m_asOfOffset = state.m_asOfOffset;
 
--- a/modules/plankledge_policy/configuration/ConfigurationStateMachine.h
+++ b/modules/plankledge_policy/configuration/ConfigurationStateMachine.h
@@ -64,8 +64,8 @@
     /** @returns the offset to read from next */
     LogOffset nextOffset() const noexcept { return m_next; }
 
-    /** @returns the offset of the last record that holds the version in force; -1 if none was read */
-    LogOffset lastRestatement() const noexcept { return m_lastRestatement; }
+    /** @returns the offset of the last record read that holds the version in force; -1 if none was read */
+    LogOffset lastVersionOffset() const noexcept { return m_lastVersionOffset; }
 
     /** @returns whether all records after the state's offset have been read */
     bool canDecide() const noexcept { return m_state.m_asOfOffset + 1 >= m_coveredFrom; }
@@ -83,7 +83,7 @@
     Declarations m_declarations;
     LogOffset m_next = 0;
     LogOffset m_coveredFrom = 0; /**< all records from here up to m_next were read */
-    LogOffset m_lastRestatement = -1;
+    LogOffset m_lastVersionOffset = -1;
     std::vector<ConfigurationRecord> m_pendingProposals; /**< kept until there is no gap before them */
 };
 
--- a/modules/plankledge_policy/configuration/ConfigurationSync.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.cpp
@@ -28,7 +28,7 @@
     scheduleCheckpoint (turn);
 }
 
-void ConfigurationSync::onPollTime (Turn& turn, std::size_t clusterSize)
+void ConfigurationSync::onPollTimer (Turn& turn, std::size_t clusterSize)
 {
     const auto scaled = pollIntervalPerMember * static_cast<Duration::rep> (clusterSize);
     const auto period = std::max (turn.settings().m_logPeriod, scaled);
@@ -68,16 +68,16 @@
 //==============================================================================
 void ConfigurationSync::scheduleCheckpoint (Turn& turn)
 {
-    m_restatementAtSchedule = m_stateMachine.lastRestatement();
+    m_versionOffsetAtSchedule = m_stateMachine.lastVersionOffset();
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_checkpointPeriod),
                        TimerKind::checkpoint);
 }
 
-void ConfigurationSync::onCheckpointTime (Turn& turn)
+void ConfigurationSync::onCheckpointTimer (Turn& turn)
 {
-    const bool wasRestated = m_stateMachine.lastRestatement() > m_restatementAtSchedule;
+    const bool hasNewRecord = m_stateMachine.lastVersionOffset() > m_versionOffsetAtSchedule;
 
-    if (! wasRestated && version() > 0 && m_stateMachine.canDecide())
+    if (! hasNewRecord && version() > 0 && m_stateMachine.canDecide())
         turn.emit (AppendCheckpoint { m_stateMachine.state() });
 
     scheduleCheckpoint (turn);
--- a/modules/plankledge_policy/configuration/ConfigurationSync.h
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.h
@@ -25,8 +25,8 @@
 
     void start (Turn& turn);
     void onRead (Turn& turn, const ConfigurationRead& read);
-    void onPollTime (Turn& turn, std::size_t clusterSize);
-    void onCheckpointTime (Turn& turn);
+    void onPollTimer (Turn& turn, std::size_t clusterSize);
+    void onCheckpointTimer (Turn& turn);
 
     /** Pulls the state of a peer that has reported a higher version. */
     void onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion version);
@@ -52,7 +52,7 @@
     ConfigurationStateMachine m_stateMachine;
     std::function<void (Turn&)> m_onInForce;
     Time m_nextPull;
-    LogOffset m_restatementAtSchedule = -1;
+    LogOffset m_versionOffsetAtSchedule = -1;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/membership/DrainProtocol.cpp
+++ b/modules/plankledge_policy/membership/DrainProtocol.cpp
@@ -38,7 +38,7 @@
     turn.timers().set (turn.now() + checkPeriod, TimerKind::drain);
 }
 
-void DrainProtocol::onTime (Turn& turn)
+void DrainProtocol::onTimer (Turn& turn)
 {
     const auto sinceStart = turn.now() - m_startedAt;
     const auto sincePhase = turn.now() - m_phaseStartedAt;
--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -11,11 +11,12 @@
 
 //==============================================================================
 /**
-    Drains this node for a planned exit: it announces that it is leaving, accepts new
-    requests for a grace period, completes its pending work, hands its records and
-    fences over to each key's next candidates, notifies its service's members, and exits.
+    Drains this node before a planned exit. The node announces that it is leaving,
+    accepts new requests for a grace period, completes its pending calls, hands its
+    records and fences over to each key's next candidates, sends leave notices to the
+    members of its service, and exits.
 
-    If no peer could take the records, the members are not notified. The records then
+    If no peer has acknowledged the records, no leave notices are sent, and the records
     count as lost, as after a crash.
 */
 class DrainProtocol
@@ -24,7 +25,7 @@
     //==============================================================================
     struct Hooks
     {
-        std::function<void (Turn&)> m_announce; /**< tells other nodes that this node is leaving */
+        std::function<void (Turn&)> m_announce; /**< announces to other nodes that this node is leaving */
         std::function<void()> m_refuseNewCalls;
         std::function<bool()> m_isIdle;
     };
@@ -32,7 +33,7 @@
     DrainProtocol (Membership& membership, RecordTable& records, Hooks hooks);
 
     void start (Turn& turn);
-    void onTime (Turn& turn);
+    void onTimer (Turn& turn);
     void onHandoverAcknowledged (const HandoverAcknowledgement& acknowledgement);
     void onLeaveAcknowledged (const NodeId& from);
     void onPeerUnreachable (const InstanceName& instance) { m_unnotified.erase (instance); }
--- a/modules/plankledge_policy/membership/GossipProtocol.cpp
+++ b/modules/plankledge_policy/membership/GossipProtocol.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-constexpr unsigned transmissionsPerUpdate = 10; // to two receivers each, reaches clusters of 830 members
+constexpr unsigned transmissionsPerUpdate =
+    10; // to two receivers each; enough for clusters of up to 830 members
 constexpr std::size_t maxUpdatesPerMessage = 3;
 
 } // namespace
@@ -39,11 +40,11 @@
 {
     m_membership.onMessageFrom (gossip.m_sender.m_id, turn.now());
 
-    if (m_membership.learn (gossip.m_sender, turn.now()))
+    if (m_membership.merge (gossip.m_sender, turn.now()))
         addUpdate (gossip.m_sender);
 
     for (const auto& member : gossip.m_memberUpdates)
-        if (m_membership.learn (member, turn.now()))
+        if (m_membership.merge (member, turn.now()))
             addUpdate (member);
 }
 
--- a/modules/plankledge_policy/membership/GossipProtocol.h
+++ b/modules/plankledge_policy/membership/GossipProtocol.h
@@ -12,8 +12,8 @@
     Gossip protocol: periodically sends membership updates and the version of the
     declarations in force to a few random members, in small datagrams.
 
-    Each node passes an update on a limited number of times, so that its traffic does
-    not grow with the size of the cluster.
+    Each node forwards an update a limited number of times, so that its traffic does not
+    grow with the size of the cluster.
 */
 class GossipProtocol
 {
@@ -27,7 +27,7 @@
     /** Queues a member's new state for the next transmissions. */
     void addUpdate (const Member& member);
 
-    /** Sends the least sent updates to random members.
+    /** Sends the updates with the fewest transmissions to random members.
 
         @param fanout   number of receivers
     */
--- a/modules/plankledge_policy/membership/JoinProtocol.cpp
+++ b/modules/plankledge_policy/membership/JoinProtocol.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr Duration acknowledgementTimeout = Milliseconds (1500); // then a peer counts as unreachable
+constexpr Duration acknowledgementTimeout = Milliseconds (1500); // a peer then counts as unreachable
 constexpr unsigned roundsPerAppend = 10;
 
 } // namespace
@@ -32,11 +32,11 @@
         m_isEstablished = true;
 }
 
-void JoinProtocol::onTime (Turn& turn)
+void JoinProtocol::onTimer (Turn& turn)
 {
     if (m_isEstablished)
     {
-        // Reads joins that neither gossip nor the platform's list has delivered.
+        // Finds members that neither gossip nor the platform's list has reported.
         turn.emit (ReadLog { LogStream::joins, m_nextOffset });
         turn.timers().set (turn.now() + turn.jittered (turn.settings().m_joinPeriod * 30), TimerKind::join);
         return;
@@ -108,7 +108,7 @@
             continue;
 
         m_offsets.try_emplace (record.m_member.m_id, record.m_offset);
-        m_membership.learn (record.m_member, turn.now());
+        m_membership.merge (record.m_member, turn.now());
     }
 
     checkEstablished (turn);
@@ -117,7 +117,7 @@
 JoinAcknowledgement JoinProtocol::onRequest (Turn& turn, const JoinRequest& request) const
 {
     m_membership.onMessageFrom (request.m_member.m_id, turn.now());
-    m_membership.learn (request.m_member, turn.now());
+    m_membership.merge (request.m_member, turn.now());
 
     JoinAcknowledgement acknowledgement;
     acknowledgement.m_isEstablished = m_isEstablished;
@@ -135,7 +135,7 @@
     m_membership.onMessageFrom (from, turn.now());
 
     for (const auto& member : acknowledgement.m_members)
-        m_membership.learn (member, turn.now());
+        m_membership.merge (member, turn.now());
 
     for (const auto& lost : acknowledgement.m_lost)
         m_membership.onLost (lost, turn.now());
--- a/modules/plankledge_policy/membership/JoinProtocol.h
+++ b/modules/plankledge_policy/membership/JoinProtocol.h
@@ -27,7 +27,7 @@
     JoinProtocol (Membership& membership, RecordTable& records, std::function<void (Turn&)> onEstablished);
 
     void start (Turn& turn);
-    void onTime (Turn& turn);
+    void onTimer (Turn& turn);
     void onListRead (Turn& turn);
     void onJoinsRead (Turn& turn, const JoinsRead& read);
     void onPeerUnreachable (const InstanceName& instance) { m_unreachable.insert (instance); }
--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -22,7 +22,7 @@
     m_byService[self.m_service].insert (self.m_id.m_instance);
 }
 
-bool Membership::learn (const Member& member, Time now)
+bool Membership::merge (const Member& member, Time now)
 {
     const auto& instance = member.m_id.m_instance;
 
@@ -63,7 +63,7 @@
         if (isOwnService (known.m_member) && known.m_member.m_id.m_incarnation != 0)
             markLost (known.m_member.m_id, now);
 
-        // The first known incarnation of a listed instance is not gossiped: nodes learn it from the instance.
+        // The first known incarnation of a listed instance is not gossiped: the instance announces it itself.
         const bool wasOnlyListed = known.m_member.m_id.m_incarnation == 0;
         known.m_acknowledgedByAll.reset();
         known.m_lastContact = now;
@@ -102,7 +102,7 @@
         newer.m_id = id;
         newer.m_state = MemberState::joining;
         newer.m_stateVersion = 0;
-        learn (newer, now);
+        merge (newer, now);
     }
 }
 
@@ -120,7 +120,7 @@
 
         const Member member { { listed.m_instance, 0 }, listed.m_service,     listed.m_zone,
                               listed.m_endpoint,        MemberState::serving, 0 };
-        learn (member, now);
+        merge (member, now);
     }
 
     auto& known = m_known[listed.m_instance];
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -16,8 +16,8 @@
 //==============================================================================
 /**
     This node's view of the cluster: all known instances, this one included, and the
-    incarnations of its own service that ended without handing over their records
-    (lost memories).
+    incarnations of its own service's instances that ended without handing over their
+    records (lost memories).
 
     The view is built from the platform's list, gossip, the join stream and messages
     of the members. A newer incarnation of an instance replaces the older one, whose
@@ -29,11 +29,11 @@
     //==============================================================================
     explicit Membership (const Member& self);
 
-    /** Merges information on a member, from itself or from another node.
+    /** Merges the state of a member, received from the member itself or from another node.
 
-        @returns whether this is an update that gossip should pass on
+        @returns whether this is an update that gossip should forward
     */
-    bool learn (const Member& member, Time now);
+    bool merge (const Member& member, Time now);
 
     /** Updates the time of the last message from this incarnation of an instance. */
     void onMessageFrom (const NodeId& id, Time now);
@@ -97,11 +97,11 @@
     /** @returns whether this node's view has it as a candidate of the key */
     bool isCandidate (std::uint64_t keyHash) const;
 
-    /** Determines whether an inquiry about a key must include an instance of this service.
+    /** Determines whether an inquiry about a key must be sent to an instance of this service.
 
-        @param window   an instance is ruled out only by higher ranked members that all peers have
-       acknowledged for at least this long; nullopt: by any higher ranked members
-        @returns whether the instance may have run the key according to some member's view
+        @param window   an instance is ruled out only by members ahead of it in rendezvous order that all
+                        peers have acknowledged for at least this long; nullopt: by any members ahead of it
+        @returns whether the instance may have run a request with the key, by some member's view
     */
     bool couldHaveRun (std::uint64_t keyHash, const InstanceName& instance, std::optional<Duration> window,
                        Time now) const;
--- a/modules/plankledge_policy/once/InquiryCoordinator.cpp
+++ b/modules/plankledge_policy/once/InquiryCoordinator.cpp
@@ -37,7 +37,7 @@
     {
         const auto& instance = member.m_id.m_instance;
 
-        if (! pending.m_asked.contains (instance) &&
+        if (! pending.m_queriedInstances.contains (instance) &&
             m_membership.couldHaveRun (keyHash, instance, window, turn.now()))
             sendInquiry (turn, inquiry, pending, member);
     }
@@ -46,7 +46,7 @@
 void InquiryCoordinator::sendInquiry (Turn& turn, CallId inquiry, Pending& pending, const Member& member)
 {
     const auto& query = pending.m_query;
-    pending.m_asked.insert (member.m_id.m_instance);
+    pending.m_queriedInstances.insert (member.m_id.m_instance);
     pending.m_waitingFor.insert (member.m_id.m_instance);
     turn.emit (SendToPeer { member.m_id.m_instance, member.m_endpoint,
                             Inquiry { inquiry, query.m_key, query.m_window + query.m_maxTransitTime } });
@@ -60,7 +60,7 @@
 
     if (turn.mechanisms().m_membersInAnswers)
         for (const auto& member : answer.m_members)
-            m_membership.learn (member, turn.now());
+            m_membership.merge (member, turn.now());
 
     const auto found = m_pending.find (answer.m_inquiryId);
 
@@ -78,7 +78,7 @@
     finishIfComplete (turn, answer.m_inquiryId);
 }
 
-void InquiryCoordinator::onPeerGone (Turn& turn, const InstanceName& instance)
+void InquiryCoordinator::onPeerUnavailable (Turn& turn, const InstanceName& instance)
 {
     std::vector<CallId> affected;
 
--- a/modules/plankledge_policy/once/InquiryCoordinator.h
+++ b/modules/plankledge_policy/once/InquiryCoordinator.h
@@ -11,12 +11,13 @@
 
 //==============================================================================
 /**
-    Determines whether the retry of a key may run on this node: all peers that could
-    have run the key must answer that they have no record of it and have fenced it.
+    Determines whether a retry may run on this node: all peers that could have run an
+    earlier attempt with its key must answer that they have no record of the key and
+    have fenced it.
 
-    Otherwise the outcome is unknown: a peer has a record of the key, is unreachable or
-    does not answer in time, or a memory that could have held the record was lost since
-    the first attempt.
+    The outcome is unknown if a peer has a record of the key, is unreachable or does not
+    answer in time, or if a memory that could have held the record was lost since the
+    first attempt.
 */
 class InquiryCoordinator
 {
@@ -32,16 +33,17 @@
         Duration m_window {};         /**< record window of the operation */
     };
 
-    /** Called once for each finished query, with Reason::none if the key may run. */
+    /** Called once for each finished query, with Reason::none if the retry may run. */
     using OnFinished = std::function<void (Turn&, CallId call, Reason reason)>;
 
     InquiryCoordinator (Membership& membership, RecordTable& records, OnFinished onFinished);
 
-    /** Sends inquiries to all peers that may have run the key. */
+    /** Sends inquiries to all peers that may have run an earlier attempt with the key. */
     void startInquiry (Turn& turn, const KeyQuery& query);
 
     void onAnswer (Turn& turn, const NodeId& from, const InquiryAnswer& answer);
-    void onPeerGone (Turn& turn, const InstanceName& instance);
+    /** Fails the queries that wait for a peer that is unreachable or whose connection was lost. */
+    void onPeerUnavailable (Turn& turn, const InstanceName& instance);
     void onTimeout (Turn& turn, CallId inquiry);
 
     /** Discards the pending query of a call without reporting a result. */
@@ -53,7 +55,7 @@
     */
     InquiryAnswer answerFor (Turn& turn, const Inquiry& inquiry);
 
-    /** Time limit for all answers to a query. */
+    /** Timeout for the answers to all inquiries of a query. */
     static constexpr Duration timeout = Milliseconds (600);
 
 private:
@@ -62,7 +64,7 @@
     {
         KeyQuery m_query;
         Time m_earliestSent; /**< earliest time of the first attempt with this key */
-        std::set<InstanceName> m_asked;
+        std::set<InstanceName> m_queriedInstances;
         std::set<InstanceName> m_waitingFor;
     };
 
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/once/RecordTable.cpp
@@ -13,8 +13,8 @@
     return found != m_records.end() ? &found->second : nullptr;
 }
 
-void RecordTable::begin (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
-                         Duration retention)
+void RecordTable::add (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
+                       Duration retention)
 {
     assert (! m_records.contains (key));
     m_records[key] = Record { state, bodyHash, call, {}, retention, {} };
@@ -35,10 +35,10 @@
     record.m_expiresAt = now + record.m_retention;
 }
 
-void RecordTable::setBroken (const std::string& key, const CallResult& result, Time now)
+void RecordTable::setResultLost (const std::string& key, const CallResult& result, Time now)
 {
     auto& record = m_records[key];
-    record.m_state = RecordState::broken;
+    record.m_state = RecordState::resultLost;
     record.m_result = result;
     record.m_expiresAt = now + record.m_retention;
 }
@@ -65,7 +65,7 @@
         return;
 
     const auto state =
-        copy.m_result.m_outcome == Outcome::completed ? RecordState::completed : RecordState::broken;
+        copy.m_result.m_outcome == Outcome::completed ? RecordState::completed : RecordState::resultLost;
     m_records[copy.m_key] =
         Record { state, copy.m_bodyHash, 0, copy.m_result, copy.m_remainingTime, now + copy.m_remainingTime };
 }
@@ -77,7 +77,7 @@
     for (const auto& [key, record] : m_records)
     {
         const bool isFinished =
-            record.m_state == RecordState::completed || record.m_state == RecordState::broken;
+            record.m_state == RecordState::completed || record.m_state == RecordState::resultLost;
 
         if (isFinished && record.m_expiresAt > now)
             copies.push_back ({ key, record.m_bodyHash, record.m_result, record.m_expiresAt - now });
@@ -120,7 +120,7 @@
     std::erase_if (m_records, [now] (const auto& entry) {
         const auto& record = entry.second;
         const bool isFinished =
-            record.m_state == RecordState::completed || record.m_state == RecordState::broken;
+            record.m_state == RecordState::completed || record.m_state == RecordState::resultLost;
         return isFinished && record.m_expiresAt <= now;
     });
 }
--- a/modules/plankledge_policy/once/RecordTable.h
+++ b/modules/plankledge_policy/once/RecordTable.h
@@ -13,10 +13,10 @@
 /** State of the idempotency record of a key. */
 enum class RecordState : std::uint8_t
 {
-    inquiring, /**< peers are asked whether they have a record of the key */
+    inquiring, /**< inquiries are sent to peers that may have a record of the key */
     running,   /**< the call was admitted on this node: it is queued or running */
     completed, /**< the result is stored */
-    broken     /**< the call may have run, but its result is lost */
+    resultLost /**< the call may have run, but its result is lost */
 };
 
 /** The idempotency record of a key. */
@@ -25,9 +25,9 @@
     RecordState m_state = RecordState::running;
     std::uint64_t m_bodyHash = 0;
     CallId m_call = 0;   /**< valid while inquiring or running */
-    CallResult m_result; /**< valid once completed or broken */
+    CallResult m_result; /**< valid once completed or resultLost */
     Duration m_retention {};
-    Time m_expiresAt; /**< valid once completed or broken */
+    Time m_expiresAt; /**< valid once completed or resultLost */
 };
 
 //==============================================================================
@@ -48,8 +48,8 @@
 
         @param retention   how long the result is stored
     */
-    void begin (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
-                Duration retention);
+    void add (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
+              Duration retention);
 
     /** Marks an inquiring record as running. */
     void setRunning (const std::string& key);
@@ -57,8 +57,8 @@
     /** Stores the result of a completed call. */
     void complete (const std::string& key, const CallResult& result, Time now);
 
-    /** Marks a call that may have run and whose result is lost. */
-    void setBroken (const std::string& key, const CallResult& result, Time now);
+    /** Marks the record of a call that may have run, and whose result is lost. */
+    void setResultLost (const std::string& key, const CallResult& result, Time now);
 
     /** Removes the record of a call that did not run. */
     void erase (const std::string& key) { m_records.erase (key); }
@@ -70,7 +70,7 @@
     /** Imports a record from a leaving node, unless the key has a record here that is not inquiring. */
     void adopt (const RecordCopy& copy, Time now);
 
-    /** @returns copies of the unexpired completed and broken records, for the handover */
+    /** @returns copies of the unexpired records that are completed or resultLost, for the handover */
     std::vector<RecordCopy> finishedRecords (Time now) const;
 
     std::vector<Fence> activeFences (Time now) const;
--- a/modules/plankledge_policy/retries/RetryBudget.h
+++ b/modules/plankledge_policy/retries/RetryBudget.h
@@ -13,7 +13,7 @@
     Limits the retries of one request over its whole call chain.
 
     Each child call is granted a part of the budget and returns what it did not use, so that the retries of
-    the whole chain never exceed the budget of the root. A grant to a child that never answers counts as
+    the whole chain never exceed the budget of the root. A grant to a child call that gets no answer counts as
     spent.
 
     Units: retries. Not thread-safe.
--- a/modules/plankledge_runtime/CallerEdge.cpp
+++ b/modules/plankledge_runtime/CallerEdge.cpp
@@ -40,7 +40,7 @@
 std::function<void()> CallerEdge::onRequest (HttpRequest request, HttpServer::Respond respond,
                                              bool isOutbound)
 {
-    auto parsed = readCallerRequest (std::move (request), isOutbound);
+    auto parsed = parseCallerRequest (std::move (request), isOutbound);
 
     if (const auto* error = std::get_if<CallerError> (&parsed))
     {
--- a/modules/plankledge_runtime/CallerHttp.cpp
+++ b/modules/plankledge_runtime/CallerHttp.cpp
@@ -21,10 +21,10 @@
 
     @returns nullopt if the header is missing
 */
-std::variant<std::optional<std::uint64_t>, CallerError> readNumber (const HttpHeaders& headers,
-                                                                    std::string_view name,
-                                                                    std::uint64_t minimum,
-                                                                    std::uint64_t maximum, CallerError error)
+std::variant<std::optional<std::uint64_t>, CallerError> parseNumber (const HttpHeaders& headers,
+                                                                     std::string_view name,
+                                                                     std::uint64_t minimum,
+                                                                     std::uint64_t maximum, CallerError error)
 {
     const auto text = findHeader (headers, name);
 
@@ -47,7 +47,7 @@
 }
 
 /** Splits `/{service}/{operation…}`, ignoring the query. */
-bool readPath (std::string_view target, RequestContent& content)
+bool parsePath (std::string_view target, RequestContent& content)
 {
     const auto path = target.substr (0, target.find ('?'));
 
@@ -75,12 +75,12 @@
     return names.at (static_cast<std::size_t> (error));
 }
 
-std::variant<RequestReceived, CallerError> readCallerRequest (HttpRequest request, bool isOutbound)
+std::variant<RequestReceived, CallerError> parseCallerRequest (HttpRequest request, bool isOutbound)
 {
     RequestReceived received;
     received.m_isOutbound = isOutbound;
 
-    if (! readPath (request.m_target, received.m_content))
+    if (! parsePath (request.m_target, received.m_content))
         return CallerError::badPath;
 
     received.m_content.m_method = std::move (request.m_method);
@@ -90,16 +90,16 @@
 
     const auto key = findHeader (request.m_headers, "Idempotency-Key");
 
-    if (key.size() > maximumKeyBytes || ! isPrintable (key))
+    if (key.size() > maxKeyBytes || ! isPrintable (key))
         return CallerError::badIdempotencyKey;
 
     received.m_idempotency.m_key = std::string (key);
 
     const auto attempt =
-        readNumber (request.m_headers, "Plankledge-Attempt", 1, maxAttempts, CallerError::badAttempt);
-    const auto age = readNumber (request.m_headers, "Plankledge-Age-Ms", 0, maxAgeMs, CallerError::badAge);
+        parseNumber (request.m_headers, "Plankledge-Attempt", 1, maxAttempts, CallerError::badAttempt);
+    const auto age = parseNumber (request.m_headers, "Plankledge-Age-Ms", 0, maxAgeMs, CallerError::badAge);
     const auto timeout =
-        readNumber (request.m_headers, "Plankledge-Timeout-Ms", 1, maxTimeoutMs, CallerError::badTimeout);
+        parseNumber (request.m_headers, "Plankledge-Timeout-Ms", 1, maxTimeoutMs, CallerError::badTimeout);
 
     for (const auto& number : { attempt, age, timeout })
         if (const auto* error = std::get_if<CallerError> (&number))
@@ -117,7 +117,7 @@
     if (isOutbound)
         received.m_parent = std::string (findHeader (request.m_headers, "Plankledge-Request-Id"));
 
-    if (received.m_parent.size() > maximumKeyBytes)
+    if (received.m_parent.size() > maxKeyBytes)
         return CallerError::badParent;
 
     return received;
--- a/modules/plankledge_runtime/CallerHttp.h
+++ b/modules/plankledge_runtime/CallerHttp.h
@@ -23,12 +23,12 @@
 /** @returns the name used in problem details and metrics, e.g. "bad-attempt" */
 std::string_view nameOf (CallerError error) noexcept;
 
-/** The longest idempotency key that is accepted. */
-inline constexpr std::size_t maximumKeyBytes = 256;
+/** The maximum size of an idempotency key. */
+inline constexpr std::size_t maxKeyBytes = 256;
 
 //==============================================================================
 /** Parses a request to the caller or the outbound address. The ticket is not set. */
-std::variant<RequestReceived, CallerError> readCallerRequest (HttpRequest request, bool isOutbound);
+std::variant<RequestReceived, CallerError> parseCallerRequest (HttpRequest request, bool isOutbound);
 
 /** @returns the response with its outcome, reason and Retry-After headers; a problem document if the node
     itself responds instead of the target */
--- a/modules/plankledge_runtime/GossipSocket.h
+++ b/modules/plankledge_runtime/GossipSocket.h
@@ -14,7 +14,7 @@
 {
 
 //==============================================================================
-/** Sends and receives rumours (gossip) as UDP datagrams. Malformed datagrams are reported and dropped. */
+/** Sends and receives gossip messages as UDP datagrams. Malformed datagrams are reported and dropped. */
 class GossipSocket
 {
 public:
--- a/modules/plankledge_runtime/Http.h
+++ b/modules/plankledge_runtime/Http.h
@@ -36,10 +36,10 @@
     bool m_closesConnection = false; /**< whether the connection closes after it */
 };
 
-/** The largest request or response body that is read. */
+/** The maximum size of a request or response body. */
 inline constexpr std::size_t maximumBodyBytes = 1U << 20U;
 
-/** The largest header section that is read. */
+/** The maximum size of a header section. */
 inline constexpr std::size_t maximumHeaderBytes = 16U << 10U;
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/HttpClient.cpp
+++ b/modules/plankledge_runtime/HttpClient.cpp
@@ -24,7 +24,7 @@
 {
 
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
-constexpr std::size_t maximumResponseBytes = 16U << 20U;
+constexpr std::size_t maxResponseBytes = 16U << 20U;
 
 /** Allows for one retransmission of the SYN, which is sent after 1 s. */
 constexpr Duration connectTimeout = Milliseconds (1500);
@@ -82,7 +82,7 @@
 
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit (maximumResponseBytes);
+    parser.body_limit (maxResponseBytes);
     const auto [readError, size] = co_await http::async_read (stream, buffer, parser, asTuple);
 
     if (readError)
--- a/modules/plankledge_runtime/HttpClient.h
+++ b/modules/plankledge_runtime/HttpClient.h
@@ -15,7 +15,7 @@
 {
 
 //==============================================================================
-/** Sends HTTP/1.1 requests, each on its own connection. Used for the platform and the admin pages. */
+/** Sends HTTP/1.1 requests, each on its own connection. Used for the platform and the admin endpoints. */
 class HttpClient
 {
 public:
--- a/modules/plankledge_runtime/Node.cpp
+++ b/modules/plankledge_runtime/Node.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** The longest interval between time events. The reducer detects pauses of the process by larger gaps. */
+/** The longest interval between time events. The reducer treats larger gaps as pauses of the process. */
 constexpr Duration maxWakeUpInterval = Milliseconds (100);
 
 /** Delay before the event loop stops, so that pending responses can be sent. */
@@ -59,7 +59,7 @@
     if (m_trace != nullptr)
         m_trace->write (TraceHeader { 1, m_traceSettings, now, hashEffects (effects) });
 
-    carryOutAll (effects);
+    executeAll (effects);
     armTimer();
 }
 
@@ -92,16 +92,16 @@
     if (m_trace != nullptr)
         m_trace->write (TraceStep { event, hashEffects (effects) });
 
-    carryOutAll (effects);
+    executeAll (effects);
 }
 
-void Node::carryOutAll (const Effects& effects)
+void Node::executeAll (const Effects& effects)
 {
     for (const auto& effect : effects)
-        carryOutOne (effect);
+        executeOne (effect);
 }
 
-void Node::carryOutOne (const Effect& effect)
+void Node::executeOne (const Effect& effect)
 {
     if (const auto* notice = std::get_if<WriteLog> (&effect))
         return writeNotice (m_logger, *notice);
--- a/modules/plankledge_runtime/Node.h
+++ b/modules/plankledge_runtime/Node.h
@@ -17,7 +17,7 @@
 namespace plankledge
 {
 
-/** Carries out effects of some kinds.
+/** Executes effects of some kinds.
 
     @returns false if the effect is of another kind
 */
@@ -76,7 +76,7 @@
     /** Starts the reducer. All edges must have been added. */
     void start();
 
-    /** Processes an event. May be called while an effect is carried out; the event is then queued. */
+    /** Processes an event. May be called while an effect is executed; the event is then queued. */
     void submit (EventBody body);
 
     /** Starts a graceful shutdown. The context stops when it is complete. */
@@ -93,8 +93,8 @@
     struct Timers;
 
     void applyOne (EventBody body);
-    void carryOutAll (const Effects& effects);
-    void carryOutOne (const Effect& effect);
+    void executeAll (const Effects& effects);
+    void executeOne (const Effect& effect);
     void exit();
     void armTimer();
 
--- a/modules/plankledge_runtime/PeerEdge.h
+++ b/modules/plankledge_runtime/PeerEdge.h
@@ -10,7 +10,7 @@
 {
 
 //==============================================================================
-/** Exchanges messages with peers: frames over TCP, rumours (gossip) over UDP. */
+/** Exchanges messages with peers: frames over TCP, gossip over UDP. */
 class PeerEdge
 {
 public:
--- a/modules/plankledge_runtime/PeerLinks.cpp
+++ b/modules/plankledge_runtime/PeerLinks.cpp
@@ -29,7 +29,7 @@
 constexpr auto asTuple = asio::as_tuple (asio::use_awaitable);
 constexpr std::chrono::milliseconds connectTimeout { 500 };
 constexpr std::chrono::seconds idleTimeout { 120 };
-constexpr std::size_t maximumQueuedBytes = 16U << 20U; // beyond it, the peer counts as lost
+constexpr std::size_t maxQueuedBytes = 16U << 20U; // if exceeded, the connection is closed
 
 /** TCP_USER_TIMEOUT: detects a peer that is partitioned or has lost power. Longer than pauses of a busy
     process, shorter than callers' timeouts. */
@@ -288,7 +288,7 @@
 
         m_hooks.m_onFrameQueued (to, message, bytes.size());
 
-        if (link->m_queued.size() + bytes.size() > maximumQueuedBytes)
+        if (link->m_queued.size() + bytes.size() > maxQueuedBytes)
             return close (*link);
 
         link->m_queued += bytes;
--- a/modules/plankledge_runtime/PeerLinks.h
+++ b/modules/plankledge_runtime/PeerLinks.h
@@ -16,7 +16,7 @@
 //==============================================================================
 /**
     TCP connections between nodes. A node sends requests over connections that it opens, one to
-    each peer, and answers over the connections that peers opened.
+    each peer, and replies over the connections that peers opened.
 
     A frame that is too large, truncated, of another protocol version or for another instance
     closes its connection with a WireError. Other connections are not affected.
@@ -54,7 +54,7 @@
     /** Sends over the connection that this node opened, opening one if necessary. */
     void send (const InstanceName& instance, const Endpoint& endpoint, const PeerMessage& message);
 
-    /** Answers over a connection that the peer opened. Does nothing if it has been closed. */
+    /** Replies over a connection that the peer opened. Does nothing if it has been closed. */
     void reply (LinkId link, const InstanceName& instance, const PeerMessage& message);
 
     /** @returns bytes of frames sent and received since the start, except calls, answers and cancellations */
--- a/modules/plankledge_runtime/RelayTargetEdge.cpp
+++ b/modules/plankledge_runtime/RelayTargetEdge.cpp
@@ -9,7 +9,7 @@
     , m_metrics (metrics)
     , m_hooks (std::move (hooks))
     , m_client (
-          context, [this] (CallId call, TargetClient::Answer answer) { onDone (call, std::move (answer)); },
+          context, [this] (CallId call, TargetClient::Answer result) { onDone (call, std::move (result)); },
           m_hooks.m_isResponseTo)
 {
 }
@@ -19,11 +19,11 @@
     m_client.send (effect.m_call, effect.m_endpoint, m_hooks.m_encode (effect));
 }
 
-void RelayTargetEdge::onDone (CallId call, TargetClient::Answer answer)
+void RelayTargetEdge::onDone (CallId call, TargetClient::Answer result)
 {
     TargetReply reply;
 
-    if (const auto* failure = std::get_if<TargetFailure> (&answer))
+    if (const auto* failure = std::get_if<TargetFailure> (&result))
     {
         const bool isBroken = *failure == TargetFailure::broken;
         m_metrics.m_brokenTargetCalls += isBroken ? 1 : 0;
@@ -31,7 +31,7 @@
     }
     else
     {
-        reply = m_hooks.m_decode (std::get<HttpResponse> (std::move (answer)));
+        reply = m_hooks.m_decode (std::get<HttpResponse> (std::move (result)));
     }
 
     reply.m_call = call;
--- a/modules/plankledge_runtime/RelayTargetEdge.h
+++ b/modules/plankledge_runtime/RelayTargetEdge.h
@@ -31,7 +31,7 @@
 
 private:
     //==============================================================================
-    void onDone (CallId call, TargetClient::Answer answer);
+    void onDone (CallId call, TargetClient::Answer result);
 
     Node& m_node;
     NodeMetrics& m_metrics;
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -85,7 +85,7 @@
         const auto self = shared_from_this();
 
         if (! m_active.contains (call))
-            co_return; // abandoned before it started
+            co_return; // cancelled before it started
 
         auto stream = takeIdle();
         m_active[call] = stream;
@@ -106,7 +106,7 @@
         auto response = co_await readResponse (*stream, headers, sent.method() == http::verb::head);
 
         if (m_active.erase (call) == 0)
-            co_return; // abandoned in the meantime
+            co_return; // cancelled in the meantime
 
         if (! response.has_value())
             co_return m_done (call, TargetFailure::broken);
@@ -168,7 +168,7 @@
             co_return nullptr;
         }
 
-        // Abandoned while connecting: nothing was sent.
+        // Cancelled while connecting: nothing was sent.
         if (! m_active.contains (call))
             co_return nullptr;
 
--- a/modules/plankledge_runtime/TargetClient.h
+++ b/modules/plankledge_runtime/TargetClient.h
@@ -21,7 +21,7 @@
     each.
 
     A connection is reused only after a complete response with no bytes after it, and only within
-    the target's idle timeout. It is closed if its call is abandoned, or if the target sends
+    the target's idle timeout. It is closed if its call is cancelled, or if the target sends
     unsolicited bytes. A failure after any byte of a call may have been sent is
     TargetFailure::broken.
 */
@@ -31,8 +31,8 @@
     //==============================================================================
     using Answer = std::variant<HttpResponse, TargetFailure>;
 
-    /** Called exactly once for each call that is not abandoned. */
-    using Done = std::function<void (CallId call, Answer answer)>;
+    /** Called exactly once for each call that is not cancelled. */
+    using Done = std::function<void (CallId call, Answer result)>;
 
     /** @returns whether a response belongs to the request. Responses that do not match are skipped,
         such as a duplicate response to an earlier request. */
--- a/modules/plankledge_runtime/TargetEdge.cpp
+++ b/modules/plankledge_runtime/TargetEdge.cpp
@@ -32,7 +32,7 @@
     , m_metrics (metrics)
     , m_endpoint (target)
     , m_client (context,
-                [this] (CallId call, TargetClient::Answer answer) { onDone (call, std::move (answer)); })
+                [this] (CallId call, TargetClient::Answer result) { onDone (call, std::move (result)); })
     , m_probeClient (context)
     , m_timer (std::make_unique<Timer> (context))
 {
@@ -50,9 +50,9 @@
     m_client.abandon (effect.m_call);
 }
 
-void TargetEdge::onDone (CallId call, TargetClient::Answer answer)
+void TargetEdge::onDone (CallId call, TargetClient::Answer result)
 {
-    if (const auto* failure = std::get_if<TargetFailure> (&answer))
+    if (const auto* failure = std::get_if<TargetFailure> (&result))
     {
         if (*failure == TargetFailure::broken)
             ++m_metrics.m_brokenTargetCalls;
@@ -62,7 +62,7 @@
         return m_node.submit (TargetFailed { call, *failure });
     }
 
-    auto& response = std::get<HttpResponse> (answer);
+    auto& response = std::get<HttpResponse> (result);
     processResponse (response);
     m_node.submit (TargetAnswered { call, response.m_status, std::move (response.m_contentType),
                                     std::move (response.m_body) });
@@ -94,12 +94,12 @@
         m_isProbing = true;
         HttpRequest request;
         request.m_target = "/health";
-        m_probeClient.send (m_endpoint, request, probeTimeout, [this] (const auto& answer) {
+        m_probeClient.send (m_endpoint, request, probeTimeout, [this] (const auto& response) {
             m_isProbing = false;
 
-            if (answer.ok())
-                processResponse (*answer);
-            else if (absl::IsUnavailable (answer.status()))
+            if (response.ok())
+                processResponse (*response);
+            else if (absl::IsUnavailable (response.status()))
                 updateState (TargetState::unreachable);
         });
     }
--- a/modules/plankledge_runtime/TargetEdge.h
+++ b/modules/plankledge_runtime/TargetEdge.h
@@ -34,7 +34,7 @@
     void probe();
     void updateState (TargetState state);
     void processResponse (const HttpResponse& response);
-    void onDone (CallId call, TargetClient::Answer answer);
+    void onDone (CallId call, TargetClient::Answer result);
 
     Node& m_node;
     NodeMetrics& m_metrics;
--- a/modules/plankledge_runtime/TraceFile.cpp
+++ b/modules/plankledge_runtime/TraceFile.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::uint32_t maximumBlockBytes = 64U << 20U;
+constexpr std::uint32_t maxBlockBytes = 64U << 20U;
 
 /** @returns false at the end of the file */
 absl::StatusOr<bool> readBlock (std::ifstream& file, std::string& bytes)
@@ -21,7 +21,7 @@
     if (file.gcount() == 0)
         return false;
 
-    if (file.gcount() != sizeof (length) || length > maximumBlockBytes)
+    if (file.gcount() != sizeof (length) || length > maxBlockBytes)
         return absl::DataLossError ("truncated trace, or not a trace file");
 
     bytes.resize (length);
--- a/tests/calls/InboundCallTable_test.cpp
+++ b/tests/calls/InboundCallTable_test.cpp
@@ -18,7 +18,7 @@
                             detail::InboundCall::Stage stage = detail::InboundCall::Stage::queued)
 {
     detail::InboundCall call;
-    call.m_waiters = { origin };
+    call.m_origins = { origin };
     call.m_key = key;
     call.m_stage = stage;
     return call;
@@ -38,7 +38,7 @@
     CHECK (table.findByRequestId (requestId) == id);
 
     const auto call = table.take (id);
-    CHECK (call.m_waiters == std::vector<Origin> { first, second });
+    CHECK (call.m_origins == std::vector<Origin> { first, second });
     CHECK (table.find (id) == nullptr);
     CHECK_FALSE (table.findByOrigin (first).has_value());
     CHECK_FALSE (table.findByOrigin (second).has_value());
@@ -53,7 +53,7 @@
     table.attach (id, second);
     table.detach (id, first);
     CHECK_FALSE (table.findByOrigin (first).has_value());
-    CHECK (table.at (id).m_waiters == std::vector<Origin> { second });
+    CHECK (table.at (id).m_origins == std::vector<Origin> { second });
 
     CHECK (table.detachAll (id) == std::vector<Origin> { second });
     CHECK_FALSE (table.findByOrigin (second).has_value());
