--- a/modules/plankledge_policy/admission/Admission.cpp
+++ b/modules/plankledge_policy/admission/Admission.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t baselineQueueLength = 100000;
 constexpr Duration minAcceptableQueueTime = Milliseconds (5);
 
-/** Divides the service time, which gives the acceptable queueing time of all classes but the most important:
+/** The acceptable queueing time is the service time, divided by this for all classes but the most important:
     a queue of a quarter of the slots is enough to keep all of them busy. */
 constexpr int acceptableQueueTimeDivisor = 4;
 
--- a/modules/plankledge_policy/admission/ShedThreshold.cpp
+++ b/modules/plankledge_policy/admission/ShedThreshold.cpp
@@ -15,7 +15,7 @@
 constexpr double headroomDecrease = 0.95;
 constexpr double maxHeadroomIncrease = 1.15;
 constexpr double fullUtilisation = 0.97;
-constexpr unsigned holdWindowsAfterRefusal = 2;
+constexpr unsigned cooldownWindowsAfterRefusal = 2;
 
 /** @returns the first rank of the most important class whose queueing time is too long; admitAll if none */
 Rank endOfAcceptableClasses (const ShedThreshold::Load& load) noexcept
@@ -46,7 +46,7 @@
 {
     const auto endOfClass = static_cast<Rank> ((rank / cohortsPerClass + 1) * cohortsPerClass);
     m_threshold = std::min (m_threshold, endOfClass);
-    m_holdWindows = holdWindowsAfterRefusal;
+    m_cooldownWindows = cooldownWindowsAfterRefusal;
 }
 
 bool ShedThreshold::update (const Load& load) noexcept
@@ -57,7 +57,7 @@
 
     if (acceptableEnd < admitAll)
         m_headroom = std::max (minHeadroom, std::min (m_headroom, 1.0) * headroomDecrease);
-    else if (m_holdWindows == 0 && load.m_utilisation < fullUtilisation)
+    else if (m_cooldownWindows == 0 && load.m_utilisation < fullUtilisation)
         m_headroom = std::min (
             maxHeadroom, m_headroom * std::min (maxHeadroomIncrease, fullUtilisation / load.m_utilisation));
 
@@ -65,8 +65,8 @@
 
     if (acceptableEnd < admitAll)
         m_threshold = std::max (acceptableEnd, std::min (m_threshold, byCapacity));
-    else if (m_holdWindows > 0)
-        --m_holdWindows;
+    else if (m_cooldownWindows > 0)
+        --m_cooldownWindows;
     else
         m_threshold = std::max (m_threshold, byCapacity);
 
--- a/modules/plankledge_policy/admission/ShedThreshold.h
+++ b/modules/plankledge_policy/admission/ShedThreshold.h
@@ -13,8 +13,8 @@
     While queueing times are too long, the threshold is set so that the load offered
     below it matches the capacity of the slots. A headroom factor corrects the estimate:
     it decreases while queueing times are still too long and increases while slots are
-    idle. Classes with acceptable queueing times are not shed. A rank consists of a class and
-    a cohort, so less important classes are always refused first.
+    idle. Classes with acceptable queueing times are not shed. A rank consists of a class
+    and a cohort, so less important classes are always refused first.
 
     Calls above the threshold are mostly refused by their callers' nodes and rarely
     reach this one, so the averages of those ranks decay slowly.
@@ -46,7 +46,8 @@
     */
     bool admit (Rank rank) noexcept;
 
-    /** Records a refusal for lack of capacity: less important classes are refused for the next windows. */
+    /** Lowers the threshold after a refusal for lack of capacity: less important classes are refused for the
+        next windows. */
     void onCapacityRefusal (Rank rank) noexcept;
 
     /** Ends a measurement window.
@@ -66,7 +67,7 @@
     std::array<float, admitAll> m_averageOffered {};  /**< per window, moving average */
     double m_headroom = 1.0;
     Rank m_threshold = admitAll;
-    unsigned m_holdWindows = 0;
+    unsigned m_cooldownWindows = 0;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/calls/InboundCall.h
+++ b/modules/plankledge_policy/calls/InboundCall.h
@@ -34,8 +34,7 @@
     };
 
     CallRequest m_request;
-    std::vector<Origin> m_origins; /**< wait for the result; the first one granted the retries and gets back
-                                      the unused ones */
+    std::vector<Origin> m_origins; /**< unused retries are returned to the first one, which granted them */
     RetryBudget m_budget;
     Stage m_stage = Stage::queued;
     bool m_isRepeatable = true;
--- a/modules/plankledge_policy/calls/InboundCalls.h
+++ b/modules/plankledge_policy/calls/InboundCalls.h
@@ -5,9 +5,9 @@
 #include "plankledge_policy/admission/ThresholdCache.h"
 #include "plankledge_policy/calls/InboundCallTable.h"
 #include "plankledge_policy/calls/IntakeGate.h"
+#include "plankledge_policy/idempotency/InquiryCoordinator.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/once/InquiryCoordinator.h"
-#include "plankledge_policy/once/RecordTable.h"
 #include <functional>
 #include <string>
 
--- a/modules/plankledge_policy/once/InquiryCoordinator.cpp
+++ b/modules/plankledge_policy/idempotency/InquiryCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/once/InquiryCoordinator.h"
+#include "plankledge_policy/idempotency/InquiryCoordinator.h"
 
 #include "plankledge_core/Hash.h"
 
--- a/modules/plankledge_policy/once/InquiryCoordinator.h
+++ b/modules/plankledge_policy/idempotency/InquiryCoordinator.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/once/RecordTable.h"
 #include <functional>
 #include <set>
 
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/idempotency/RecordTable.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/once/RecordTable.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 
 #include "plankledge_core/Hash.h"
 #include <algorithm>
--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/once/RecordTable.h"
 #include <functional>
 #include <map>
 
@@ -16,8 +16,8 @@
     records and fences over to each key's next candidates, sends leave notices to the
     members of its service, and exits.
 
-    If no peer has acknowledged the records, no leave notices are sent, and the records
-    count as lost, as after a crash.
+    Unless each record was acknowledged by at least one peer, no leave notices are sent,
+    and the records count as lost, as after a crash.
 */
 class DrainProtocol
 {
--- a/modules/plankledge_policy/routing/Router.cpp
+++ b/modules/plankledge_policy/routing/Router.cpp
@@ -36,7 +36,7 @@
 
     usable = subsetOf (std::move (usable));
 
-    std::vector<Member> nearby;
+    std::vector<Member> preferred;
 
     for (const auto& member : usable)
     {
@@ -44,10 +44,10 @@
         const bool isOverloaded = state != m_states.end() && state->second.m_loadPermille >= spillPermille;
 
         if (member.m_zone == m_self.m_zone && ! isOverloaded)
-            nearby.push_back (member);
+            preferred.push_back (member);
     }
 
-    const auto& choices = nearby.empty() ? usable : nearby;
+    const auto& choices = preferred.empty() ? usable : preferred;
     const auto& first = choices[random.below (choices.size())];
     const auto& second = choices[random.below (choices.size())];
     return loadScore (second.m_id.m_instance) < loadScore (first.m_id.m_instance) ? second : first;
@@ -124,11 +124,11 @@
 
     const auto seed = hashText (m_self.m_id.m_instance);
     std::sort (candidates.begin(), candidates.end(), [this, seed] (const Member& left, const Member& right) {
-        const bool isLeftNear = left.m_zone == m_self.m_zone;
-        const bool isRightNear = right.m_zone == m_self.m_zone;
+        const bool isLeftInOwnZone = left.m_zone == m_self.m_zone;
+        const bool isRightInOwnZone = right.m_zone == m_self.m_zone;
 
-        if (isLeftNear != isRightNear)
-            return isLeftNear;
+        if (isLeftInOwnZone != isRightInOwnZone)
+            return isLeftInOwnZone;
 
         return rendezvousWeight (seed, left.m_id.m_instance) > rendezvousWeight (seed, right.m_id.m_instance);
     });
