--- a/modules/plankledge_policy/KeyedRequests.cpp
+++ b/modules/plankledge_policy/KeyedRequests.cpp
@@ -196,7 +196,7 @@
     updateOwnState();
 }
 
-/** The instance is leaving as soon as either its target or the platform's list says so. */
+/** The instance is leaving as soon as its target or the platform's list reports it. */
 void KeyedRequests::updateOwnState()
 {
     const bool isListedLeaving = m_membership.isListedLeaving (m_settings.m_self.m_id.m_instance);
--- a/modules/plankledge_policy/admission/ThresholdCache.cpp
+++ b/modules/plankledge_policy/admission/ThresholdCache.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration relaxationInterval = Milliseconds (100);
 constexpr Rank relaxationStep = 16;
-constexpr Duration holdTime = Milliseconds (200);
+constexpr Duration relaxationDelay = Milliseconds (200);
 constexpr Duration maxAge = std::chrono::seconds (10);
 constexpr std::size_t maxOperations = 1000;
 constexpr std::size_t maxDownstream = 32;
@@ -22,10 +22,10 @@
 {
     const auto age = now - m_at;
 
-    if (age <= holdTime)
+    if (age <= relaxationDelay)
         return m_threshold;
 
-    const auto steps = (age - holdTime) / relaxationInterval;
+    const auto steps = (age - relaxationDelay) / relaxationInterval;
     return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * relaxationStep));
 }
 
--- a/modules/plankledge_policy/calls/InboundCallTable.cpp
+++ b/modules/plankledge_policy/calls/InboundCallTable.cpp
@@ -76,12 +76,12 @@
 
 std::vector<Origin> InboundCallTable::detachAll (CallId id)
 {
-    auto waiters = std::exchange (m_calls.at (id).m_origins, {});
+    auto origins = std::exchange (m_calls.at (id).m_origins, {});
 
-    for (const auto& origin : waiters)
+    for (const auto& origin : origins)
         m_byOrigin.erase (origin);
 
-    return waiters;
+    return origins;
 }
 
 InboundCall InboundCallTable::take (CallId id)
--- a/modules/plankledge_policy/routing/Router.h
+++ b/modules/plankledge_policy/routing/Router.h
@@ -32,7 +32,7 @@
 
     /** Chooses an instance by zone and load.
 
-        @param candidates   instances that may take the call
+        @param candidates   instances that may serve the call
         @returns nullopt if there are no candidates
     */
     std::optional<Member> pick (const std::vector<Member>& candidates, Random& random, Time now) const;
@@ -54,7 +54,7 @@
     /** A call to this incarnation timed out, or its target was unreachable. */
     void onFailed (const NodeId& id, Time now);
 
-    /** Removes an instance. */
+    /** Discards the state of an instance. */
     void forget (const InstanceName& instance) { m_states.erase (instance); }
 
     /** Maximum number of instances of a service that one node calls. */
--- a/modules/plankledge_runtime/HttpServer.h
+++ b/modules/plankledge_runtime/HttpServer.h
@@ -30,7 +30,7 @@
 /**
     Serves HTTP/1.1 on one address with Boost.Beast.
 
-    Header and body sizes are limited. A request may be responded to at any later time, on the same
+    Header and body sizes are limited. The response to a request may be sent at any later time, on the same
     thread; the server reports a client that disconnects before that.
 */
 class HttpServer
--- a/modules/plankledge_runtime/Node.cpp
+++ b/modules/plankledge_runtime/Node.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/** The longest interval between time events. The reducer treats larger gaps as pauses of the process. */
+/** The longest interval between time events. The reducer treats gaps above the pause threshold as pauses of
+   the process. */
 constexpr Duration maxWakeUpInterval = Milliseconds (100);
 
 /** Delay before the event loop stops, so that pending responses can be sent. */
