--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -29,7 +29,7 @@
     if (instance == m_self.m_id.m_instance)
     {
         if (member.m_id.m_incarnation != 0 && member.m_id.m_incarnation < m_self.m_id.m_incarnation &&
-            ! m_lost.contains (member.m_id) && ! hasDeparted (member.m_id))
+            ! m_lostMemories.contains (member.m_id) && ! hasDeparted (member.m_id))
             markLost (member.m_id, now);
 
         return false;
@@ -52,7 +52,8 @@
 
     if (member.m_id.m_incarnation < known.m_member.m_id.m_incarnation)
     {
-        if (isOwnService (member) && member.m_id.m_incarnation != 0 && ! m_lost.contains (member.m_id))
+        if (isOwnService (member) && member.m_id.m_incarnation != 0 &&
+            ! m_lostMemories.contains (member.m_id))
             markLost (member.m_id, now);
 
         return false;
@@ -213,8 +214,8 @@
 
 void Membership::markLost (const NodeId& id, Time at)
 {
-    auto& since = m_lost.try_emplace (id, at).first->second;
-    since = std::max (since, at);
+    auto& lostAt = m_lostMemories.try_emplace (id, at).first->second;
+    lostAt = std::max (lostAt, at);
 }
 
 void Membership::setOwnState (MemberState state)
@@ -297,7 +298,7 @@
 std::optional<Time> Membership::knownSince (const InstanceName& instance) const
 {
     const auto found = m_known.find (instance);
-    return found != m_known.end() ? std::optional<Time> (found->second.m_since) : std::nullopt;
+    return found != m_known.end() ? std::optional<Time> (found->second.m_knownSince) : std::nullopt;
 }
 
 //==============================================================================
@@ -363,7 +364,7 @@
 
 bool Membership::hasLostMemory (std::uint64_t keyHash, Time earliestSent, Duration window, Time now) const
 {
-    return std::any_of (m_lost.begin(), m_lost.end(), [&] (const auto& lost) {
+    return std::any_of (m_lostMemories.begin(), m_lostMemories.end(), [&] (const auto& lost) {
         return lost.second > earliestSent && couldHaveRun (keyHash, lost.first.m_instance, window, now);
     });
 }
@@ -372,7 +373,7 @@
 {
     std::vector<LostMemory> result;
 
-    for (const auto& [id, at] : m_lost)
+    for (const auto& [id, at] : m_lostMemories)
         result.push_back ({ id, now - at });
 
     return result;
@@ -414,7 +415,8 @@
 
 void Membership::removeExpired (Time now)
 {
-    std::erase_if (m_lost, [now] (const auto& lost) { return now - lost.second > lostMemoryRetention; });
+    std::erase_if (m_lostMemories,
+                   [now] (const auto& lost) { return now - lost.second > lostMemoryRetention; });
     std::erase_if (m_departed, [now] (const auto& departed) {
         return now - departed.second.m_departedAt > departedRetention;
     });
--- a/modules/plankledge_policy/membership/Membership.h
+++ b/modules/plankledge_policy/membership/Membership.h
@@ -129,7 +129,7 @@
         Member m_member;
         bool m_isListed = false;
         bool m_isListedLeaving = false;
-        Time m_since;
+        Time m_knownSince;
         Time m_lastContact;
         std::optional<Time> m_acknowledgedByAll;
     };
@@ -153,7 +153,7 @@
     Member m_self;
     std::map<InstanceName, KnownMember> m_known;
     std::map<ServiceName, std::set<InstanceName>> m_byService;
-    std::map<NodeId, Time> m_lost;
+    std::map<NodeId, Time> m_lostMemories;
     std::map<InstanceName, DepartedInstance> m_departed;
     std::set<InstanceName> m_agreeingPeers;
 };
