--- a/modules/plankledge_policy/admission/ShedThreshold.h
+++ b/modules/plankledge_policy/admission/ShedThreshold.h
@@ -10,11 +10,11 @@
 /**
     Load shedding by rank: calls whose rank is below the threshold are admitted.
 
-    While calls wait too long for a slot, the threshold is set so that the load offered
+    While queueing times are too long, the threshold is set so that the load offered
     below it matches the capacity of the slots. A headroom factor corrects the estimate:
-    it decreases while calls still wait too long and increases while slots are idle.
-    Classes whose calls don't wait too long are not shed. A rank consists of a class and
-    a cohort, so less important classes are always refused first.
+    it decreases while queueing times are still too long and increases while slots are
+    idle. Classes with acceptable queueing times are not shed. A rank consists of a class
+    and a cohort, so less important classes are always refused first.
 
     Calls above the threshold are mostly refused by their callers' nodes and rarely
     reach this one, so the averages of those ranks decay slowly.
@@ -33,11 +33,11 @@
     /** Measurements of one window. */
     struct Load
     {
-        std::array<Duration, priorityClassCount> m_waits {}; /**< mean wait for a slot, by class */
+        std::array<Duration, priorityClassCount> m_queueTimes {}; /**< mean, by class */
         std::array<Duration, priorityClassCount>
-            m_acceptableWaits {};   /**< by class; a longer wait is overload */
-        double m_capacity = 0.0;    /**< calls that the slots can complete in a window */
-        double m_utilisation = 0.0; /**< of the slots, moving average; 1 when all are busy */
+            m_acceptableQueueTimes {}; /**< by class; a longer time means overload */
+        double m_capacity = 0.0;       /**< calls that the slots can complete in a window */
+        double m_utilisation = 0.0;    /**< of the slots, moving average; 1 when all are busy */
     };
 
     /** Counts an offered call.
@@ -46,7 +46,8 @@
     */
     bool admit (Rank rank) noexcept;
 
-    /** Records a refusal for lack of capacity: less important classes are refused for the next windows. */
+    /** Lowers the threshold after a refusal for lack of capacity: less important classes are refused for the
+        next windows. */
     void onCapacityRefusal (Rank rank) noexcept;
 
     /** Ends a measurement window.
@@ -66,7 +67,7 @@
     std::array<float, admitAll> m_averageOffered {};  /**< per window, moving average */
     double m_headroom = 1.0;
     Rank m_threshold = admitAll;
-    unsigned m_holdWindows = 0;
+    unsigned m_cooldownWindows = 0;
 };
 
 } // namespace plankledge
--- a/modules/plankledge_policy/membership/Membership.cpp
+++ b/modules/plankledge_policy/membership/Membership.cpp
@@ -22,14 +22,14 @@
     m_byService[self.m_service].insert (self.m_id.m_instance);
 }
 
-bool Membership::learn (const Member& member, Time now)
+bool Membership::merge (const Member& member, Time now)
 {
     const auto& instance = member.m_id.m_instance;
 
     if (instance == m_self.m_id.m_instance)
     {
         if (member.m_id.m_incarnation != 0 && member.m_id.m_incarnation < m_self.m_id.m_incarnation &&
-            ! m_lost.contains (member.m_id) && ! hasDeparted (member.m_id))
+            ! m_lostMemories.contains (member.m_id) && ! hasDeparted (member.m_id))
             markLost (member.m_id, now);
 
         return false;
@@ -52,7 +52,8 @@
 
     if (member.m_id.m_incarnation < known.m_member.m_id.m_incarnation)
     {
-        if (isOwnService (member) && member.m_id.m_incarnation != 0 && ! m_lost.contains (member.m_id))
+        if (isOwnService (member) && member.m_id.m_incarnation != 0 &&
+            ! m_lostMemories.contains (member.m_id))
             markLost (member.m_id, now);
 
         return false;
@@ -63,7 +64,7 @@
         if (isOwnService (known.m_member) && known.m_member.m_id.m_incarnation != 0)
             markLost (known.m_member.m_id, now);
 
-        // The first known incarnation of a listed instance is not gossiped: nodes learn it from the instance.
+        // The first known incarnation of a listed instance is not gossiped: the instance announces it itself.
         const bool wasOnlyListed = known.m_member.m_id.m_incarnation == 0;
         known.m_acknowledgedByAll.reset();
         known.m_lastContact = now;
@@ -102,7 +103,7 @@
         newer.m_id = id;
         newer.m_state = MemberState::joining;
         newer.m_stateVersion = 0;
-        learn (newer, now);
+        merge (newer, now);
     }
 }
 
@@ -120,7 +121,7 @@
 
         const Member member { { listed.m_instance, 0 }, listed.m_service,     listed.m_zone,
                               listed.m_endpoint,        MemberState::serving, 0 };
-        learn (member, now);
+        merge (member, now);
     }
 
     auto& known = m_known[listed.m_instance];
@@ -213,8 +214,8 @@
 
 void Membership::markLost (const NodeId& id, Time at)
 {
-    auto& since = m_lost.try_emplace (id, at).first->second;
-    since = std::max (since, at);
+    auto& lostAt = m_lostMemories.try_emplace (id, at).first->second;
+    lostAt = std::max (lostAt, at);
 }
 
 void Membership::setOwnState (MemberState state)
@@ -297,7 +298,7 @@
 std::optional<Time> Membership::knownSince (const InstanceName& instance) const
 {
     const auto found = m_known.find (instance);
-    return found != m_known.end() ? std::optional<Time> (found->second.m_since) : std::nullopt;
+    return found != m_known.end() ? std::optional<Time> (found->second.m_knownSince) : std::nullopt;
 }
 
 //==============================================================================
@@ -363,7 +364,7 @@
 
 bool Membership::hasLostMemory (std::uint64_t keyHash, Time earliestSent, Duration window, Time now) const
 {
-    return std::any_of (m_lost.begin(), m_lost.end(), [&] (const auto& lost) {
+    return std::any_of (m_lostMemories.begin(), m_lostMemories.end(), [&] (const auto& lost) {
         return lost.second > earliestSent && couldHaveRun (keyHash, lost.first.m_instance, window, now);
     });
 }
@@ -372,7 +373,7 @@
 {
     std::vector<LostMemory> result;
 
-    for (const auto& [id, at] : m_lost)
+    for (const auto& [id, at] : m_lostMemories)
         result.push_back ({ id, now - at });
 
     return result;
@@ -414,7 +415,8 @@
 
 void Membership::removeExpired (Time now)
 {
-    std::erase_if (m_lost, [now] (const auto& lost) { return now - lost.second > lostMemoryRetention; });
+    std::erase_if (m_lostMemories,
+                   [now] (const auto& lost) { return now - lost.second > lostMemoryRetention; });
     std::erase_if (m_departed, [now] (const auto& departed) {
         return now - departed.second.m_departedAt > departedRetention;
     });
