--- a/benchmarks/Reducer_benchmark.cpp
+++ b/benchmarks/Reducer_benchmark.cpp
@@ -139,7 +139,7 @@
     }
 }
 
-void rumour (benchmark::State& state)
+void gossipMessage (benchmark::State& state)
 {
     BenchmarkNode node (state.range (0));
     GossipMessage message;
@@ -165,7 +165,7 @@
 BENCHMARK (inboundCall)->Arg (10)->Arg (100)->Arg (830);
 BENCHMARK (inboundCallWithOthersInFlight)->Arg (10)->Arg (100)->Arg (900);
 BENCHMARK (outgoingCall)->Arg (10)->Arg (100)->Arg (830);
-BENCHMARK (rumour)->Arg (10)->Arg (100)->Arg (830);
+BENCHMARK (gossipMessage)->Arg (10)->Arg (100)->Arg (830);
 BENCHMARK (fullInstanceList)->Arg (10)->Arg (100)->Arg (830);
 
 } // namespace
--- a/modules/plankledge_core/CrashMessages.h
+++ b/modules/plankledge_core/CrashMessages.h
@@ -57,7 +57,7 @@
     template <class Archive> void serialize (Archive& archive) { archive (m_content, m_age); }
 };
 
-/** Sent to peers when there are new reports, and in answer to CrashPull. */
+/** Sent to peers when there are new reports, and in response to CrashPull. */
 struct CrashUpdate
 {
     std::vector<CrashReport> m_crashes;
--- a/modules/plankledge_core/Logger.h
+++ b/modules/plankledge_core/Logger.h
@@ -31,8 +31,8 @@
     Writes log events as JSON lines, by default to standard output, without blocking on a slow
     reader.
 
-    Each event is limited to maxLinesPerSecond lines per second; the next line that is written has the
-    number of omitted lines. Lines of sampled requests have a limit of their own, so that the trace
+    Each event is limited to maxLinesPerSecond lines per second; the next line that is written states the
+    number of omitted lines. Lines of sampled requests have a separate limit, so that the trace
     of such a request is complete on all nodes. Request bodies, keys and secrets must not be logged.
     Not thread-safe.
 
@@ -42,7 +42,7 @@
 {
 public:
     //==============================================================================
-    /** @param instance     put into every line
+    /** @param instance     name of this instance, included in every line
         @param descriptor   where to write; not owned
     */
     explicit Logger (std::string instance, Severity minSeverity = Severity::info, int descriptor = 1);
@@ -59,7 +59,7 @@
 
         @param event       the event's name, lower case with dashes
         @param fields      named values in their order
-        @param isSampled   whether the line belongs to a sampled request, whose trace is to be complete
+        @param isSampled   whether the line belongs to a sampled request, whose trace must be complete
     */
     void write (Severity severity, std::string_view event, const std::vector<LogField>& fields = {},
                 bool isSampled = false);
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -28,7 +28,7 @@
 /** Name of a route, as configured. */
 using RouteName = std::string;
 
-/** Digest by which equivalent requests are recognised, see digestOf(). */
+/** Digest that identifies equivalent requests, see digestOf(). */
 using ContentDigest = std::uint64_t;
 
 /** Identifies one incarnation of a target. */
@@ -142,7 +142,7 @@
     std::uint16_t m_effectivePriority = 0; /**< smaller values are run first */
     bool m_isRetry = false;  /**< it, or a request above it in the chain, has been sent to a target before */
     bool m_isNested = false; /**< call by a target for a request that it is running */
-    Duration m_chainAge {};  /**< since the first request of the chain arrived at its entry */
+    Duration m_chainAge {};  /**< since the first request of the chain arrived at its entry node */
     Duration m_timeLeft {};  /**< until the deadline, at the time of sending */
     Duration m_maxQueueTime {}; /**< it is rejected if it would be queued for longer */
     Duration
@@ -208,7 +208,7 @@
 {
     StorePosition m_membersEnd; /**< all member records before this position are known */
     bool m_isFollowing = false; /**< whether it reads from the store itself and sends updates to its peers */
-    bool m_isStoreReachable = true; /**< whether the store answers this node */
+    bool m_isStoreReachable = true; /**< whether the store responds to this node */
 
     auto operator<=> (const StoreView&) const = default;
 
@@ -302,7 +302,7 @@
 };
 
 //==============================================================================
-/** Asks for the receiver's latest proof that its configuration is the newest. */
+/** Requests the receiver's latest proof that its configuration is the newest. */
 struct ProofQuery
 {
     Duration m_askedAt {}; /**< on the sender's clock; returned in the answer */
@@ -319,7 +319,7 @@
 */
 struct ProofAnswer
 {
-    Duration m_askedAt {};              /**< copied from the question */
+    Duration m_askedAt {};              /**< copied from the query */
     ConfigurationVersion m_version = 0; /**< configuration in force at the sender */
     Duration m_age {};                  /**< time since this version was last known to be the newest */
 
--- a/modules/plankledge_core/Time.h
+++ b/modules/plankledge_core/Time.h
@@ -31,7 +31,7 @@
 
 using Time = BootClock::time_point;
 
-/** Returns the current time. Tests replace it to simulate a suspended machine, whose timers stand still while
+/** Returns the current time. Tests replace it to simulate a suspended machine, whose timers are paused while
     this clock advances. */
 using TimeSource = std::function<Time()>;
 
--- a/modules/plankledge_formats/PlatformJson.h
+++ b/modules/plankledge_formats/PlatformJson.h
@@ -9,7 +9,7 @@
 namespace plankledge
 {
 
-/** Errors in the platform's answers. */
+/** Errors in the platform's responses. */
 enum class PlatformError : std::uint8_t
 {
     notJson,
@@ -34,7 +34,7 @@
     auto operator<=> (const LogRecord&) const = default;
 };
 
-/** The log's answer to a read request. */
+/** The log's response to a read request. */
 struct LogPage
 {
     LogOffset m_earliest = 0;
--- a/modules/plankledge_operator/Publisher.cpp
+++ b/modules/plankledge_operator/Publisher.cpp
@@ -55,8 +55,8 @@
             if (auto decoded = decodeConfigurationRecord (record); decoded.ok())
                 read.m_records.push_back (*std::move (decoded));
 
-        for (auto& judged : m_stateMachine.apply (read))
-            m_verdicts.push_back (std::move (judged));
+        for (auto& decided : m_stateMachine.apply (read))
+            m_verdicts.push_back (std::move (decided));
 
         if (page->m_next <= from)
             return absl::OkStatus();
@@ -90,7 +90,7 @@
 
     for (int round = 0;; ++round)
     {
-        // An append whose answer was lost may have taken effect, so the log is read before a retry.
+        // An append whose response was lost may have taken effect, so the log is read before a retry.
         const bool isAppendDue = round % readsPerAppend == 0;
 
         if (isAppendDue)
@@ -107,9 +107,9 @@
 
 std::optional<DecidedProposal> Publisher::findVerdict (const std::string& id) const
 {
-    for (const auto& judged : m_verdicts)
-        if (judged.m_id == id)
-            return judged;
+    for (const auto& decided : m_verdicts)
+        if (decided.m_id == id)
+            return decided;
 
     return std::nullopt;
 }
--- a/modules/plankledge_wire/FrameCodec.h
+++ b/modules/plankledge_wire/FrameCodec.h
@@ -54,7 +54,7 @@
 /** @returns the encoded datagram; updates that exceed maximumDatagramBytes are omitted */
 std::string encodeGossipMessage (GossipMessage gossip);
 
-/** @returns the rumour, or a WireError as a status */
+/** @returns the message, or a WireError as a status */
 absl::StatusOr<GossipMessage> decodeGossipMessage (std::string_view datagram);
 
 } // namespace plankledge
