--- a/modules/plankledge_load/IdealAllocation.h
+++ b/modules/plankledge_load/IdealAllocation.h
@@ -15,11 +15,11 @@
 
     In steps of one second, important groups first, each request takes the slot time that it needs from every
     service that it visits. A request that finds no capacity is retried until its caller gives up. Since each
-    attempt is assumed to be answered at once, queueing does not extend this time.
+    attempt is assumed to be answered immediately, queueing does not extend this time.
 */
 IdealAllocation allocateIdeally (const Scenario& scenario, const std::vector<Arrival>& arrivals);
 
-/** @returns the time for which a caller of the group retries if every attempt is rejected at once */
+/** @returns the time for which a caller of the group retries if every attempt is rejected immediately */
 Milliseconds retryDurationOf (const CallerGroup& group);
 
 } // namespace plankledge
--- a/modules/plankledge_load/LoadRunner.cpp
+++ b/modules/plankledge_load/LoadRunner.cpp
@@ -46,7 +46,7 @@
     return BootClock::now() - m_started;
 }
 
-void LoadRunner::at (Duration time, std::function<void()> action)
+void LoadRunner::schedule (Duration time, std::function<void()> action)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer> (m_context);
     timer->expires_after (std::max (Duration::zero(), time - elapsed()));
@@ -75,15 +75,15 @@
             start (index++);
 
         if (index < arrivals.size())
-            at (arrivals[index].m_at, [self, index] { (*self) (index); });
+            schedule (arrivals[index].m_at, [self, index] { (*self) (index); });
     };
 
-    at (Duration::zero(), [startDue] { (*startDue) (0); });
+    schedule (Duration::zero(), [startDue] { (*startDue) (0); });
 
     if (m_onTrigger && m_scenario.m_trigger.m_to > m_scenario.m_trigger.m_from)
     {
-        at (m_scenario.m_trigger.m_from, [this] { m_onTrigger (true); });
-        at (m_scenario.m_trigger.m_to, [this] { m_onTrigger (false); });
+        schedule (m_scenario.m_trigger.m_from, [this] { m_onTrigger (true); });
+        schedule (m_scenario.m_trigger.m_to, [this] { m_onTrigger (false); });
     }
 
     m_context.restart();
@@ -133,9 +133,9 @@
 
     pending.m_client->send (index, entry.m_endpoint, std::move (request));
 
-    // The caller's own timeout, in case the node does not answer.
+    // The caller's own timeout, in case the node does not respond.
     const auto attempt = pending.m_result.m_attempts;
-    at (elapsed() + Duration (group.m_timeout) + Milliseconds (500), [this, index, attempt] {
+    schedule (elapsed() + Duration (group.m_timeout) + Milliseconds (500), [this, index, attempt] {
         auto& current = m_pending[index];
 
         if (current.m_client == nullptr || current.m_result.m_attempts != attempt)
@@ -179,7 +179,7 @@
 
 void LoadRunner::scheduleRetry (std::size_t index, Duration delay)
 {
-    at (elapsed() + delay, [this, index] { send (index); });
+    schedule (elapsed() + delay, [this, index] { send (index); });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_load/LoadRunner.h
+++ b/modules/plankledge_load/LoadRunner.h
@@ -49,11 +49,11 @@
     void onAnswer (std::size_t index, const TargetClient::Answer& answer);
     void scheduleRetry (std::size_t index, Duration delay);
     Duration elapsed() const;
-    void at (Duration time, std::function<void()> action);
+    void schedule (Duration time, std::function<void()> action);
 
     boost::asio::io_context& m_context;
     const Scenario& m_scenario;
-    /** An entry of a service, with its own connection pool. */
+    /** An entry node of a service, with its own connection pool. */
     struct EntryClient
     {
         Endpoint m_endpoint;
--- a/modules/plankledge_load/Scenario.h
+++ b/modules/plankledge_load/Scenario.h
@@ -21,7 +21,7 @@
     double m_perSecond = 0.0;
     Milliseconds m_timeout { 3000 };        /**< of one attempt */
     std::uint32_t m_maxRetries = 0;         /**< per request */
-    bool m_obeysRetryAfter = true;          /**< otherwise retries follow almost at once */
+    bool m_obeysRetryAfter = true;          /**< otherwise retries follow almost immediately */
     std::map<ServiceName, double> m_visits; /**< runs per request, by service */
 };
 
--- a/modules/plankledge_load/ScenarioReport.cpp
+++ b/modules/plankledge_load/ScenarioReport.cpp
@@ -76,14 +76,14 @@
                                 buckets[index].m_latencies.end());
     }
 
-    const auto highestP99 = quantile (latenciesBefore, 0.99) * (1.0 + tolerance) + latencySlackMs;
+    const auto maxP99 = quantile (latenciesBefore, 0.99) * (1.0 + tolerance) + latencySlackMs;
     auto recovered = last;
 
     while (recovered > to)
     {
         const auto& bucket = buckets[recovered - 1];
         const bool isNormal = bucket.share() >= shareBefore * (1.0 - tolerance) &&
-                              quantile (bucket.m_latencies, 0.99) <= highestP99;
+                              quantile (bucket.m_latencies, 0.99) <= maxP99;
 
         if (! isNormal)
             break;
@@ -144,8 +144,8 @@
         auto& group = report.m_groups[result.m_group];
         ++group.m_offered;
         attempts += result.m_attempts;
-        report.m_worstLatenessMs =
-            std::max (report.m_worstLatenessMs, static_cast<double> (result.m_lateness.count()) / 1000.0);
+        report.m_maxLatenessMs =
+            std::max (report.m_maxLatenessMs, static_cast<double> (result.m_lateness.count()) / 1000.0);
 
         if (! result.m_isCompleted)
         {
@@ -207,7 +207,7 @@
                                            { "goodput_recovery_s", report.m_goodputRecoverySeconds },
                                            { "recovery_s", report.m_recoverySeconds },
                                            { "sendings_per_request", report.m_attemptsPerRequest },
-                                           { "worst_lateness_ms", report.m_worstLatenessMs } });
+                                           { "worst_lateness_ms", report.m_maxLatenessMs } });
 }
 
 } // namespace plankledge
--- a/modules/plankledge_load/ScenarioReport.h
+++ b/modules/plankledge_load/ScenarioReport.h
@@ -29,7 +29,7 @@
     double m_goodputRecoverySeconds = 0.0; /**< after the trigger's end; negative: not reached */
     double m_recoverySeconds = 0.0;        /**< the same, of completion rate and latency */
     double m_attemptsPerRequest = 0.0;
-    double m_worstLatenessMs = 0.0; /**< maximum delay of a first attempt after its scheduled time */
+    double m_maxLatenessMs = 0.0; /**< maximum delay of a first attempt after its scheduled time */
 };
 
 /** Length of the time buckets of a report. */
--- a/programs/plankledge-replay.cpp
+++ b/programs/plankledge-replay.cpp
@@ -81,7 +81,7 @@
     fmt::print ("recovery of goodput {:.1f} s, of goodput and latency {:.1f} s, attempts per request {:.2f}, "
                 "maximum lateness of the load generator {:.1f} ms\n",
                 report.m_goodputRecoverySeconds, report.m_recoverySeconds, report.m_attemptsPerRequest,
-                report.m_worstLatenessMs);
+                report.m_maxLatenessMs);
 }
 
 int sendScenario()
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -19,7 +19,7 @@
 constexpr const char* declarations = R"({"services":{"lodgement":{"slots":10,"operations":{"lodge":
     {"class":"critical","repeatable":false,"longest_wait_ms":2000,"retry_budget":1,"record_window_ms":8000}}}}})";
 
-/** Exceeds record window plus longest wait, so that members are no longer new. */
+/** Exceeds the sum of the record window and the maximum wait, so that members are no longer new. */
 constexpr Duration warmUp = std::chrono::seconds (13);
 
 constexpr Duration trialDuration = std::chrono::seconds (24);
@@ -191,7 +191,8 @@
     void fault (int kind)
     {
         const auto instance = anyInstance();
-        printStep (instance, fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 cut)", kind));
+        printStep (instance,
+                   fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 partition)", kind));
 
         switch (kind)
         {
@@ -214,9 +215,9 @@
         if (chance (50))
             m_rig.cut (other, instance);
 
-        const auto cutDuration =
+        const auto partitionDuration =
             pick<Duration> ({ Milliseconds (1000), Milliseconds (4000), Milliseconds (10000) });
-        m_steps.emplace (elapsed() + cutDuration, [this] { m_rig.healAll(); });
+        m_steps.emplace (elapsed() + partitionDuration, [this] { m_rig.healAll(); });
     }
 
     void printStep (const InstanceName& instance, const std::string& text) const
--- a/tests/contracts/ConfigurationStateMachine_test.cpp
+++ b/tests/contracts/ConfigurationStateMachine_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-ConfigurationStateMachine makeJudge()
+ConfigurationStateMachine makeStateMachine()
 {
     return ConfigurationStateMachine ([] (const std::string& text) {
         return text == "bad" ? std::nullopt : std::optional<Declarations> (Declarations {});
@@ -40,77 +40,77 @@
 //==============================================================================
 TEST_CASE ("a proposal is accepted if its base is in force at its offset")
 {
-    auto judge = makeJudge();
+    auto stateMachine = makeStateMachine();
     const auto results =
-        judge.apply (read (0, 0,
-                           { proposal (0, 0, "one"), proposal (1, 0, "late"), proposal (2, 1, "bad"),
-                             proposal (3, 1, "two"), proposal (4, 9, "far") },
-                           5));
+        stateMachine.apply (read (0, 0,
+                                  { proposal (0, 0, "one"), proposal (1, 0, "late"), proposal (2, 1, "bad"),
+                                    proposal (3, 1, "two"), proposal (4, 9, "far") },
+                                  5));
     REQUIRE (results.size() == 5);
     CHECK (results[0].m_verdict == ProposalVerdict::accepted);
     CHECK (results[1].m_verdict == ProposalVerdict::conflict);
     CHECK (results[2].m_verdict == ProposalVerdict::invalid);
     CHECK (results[3].m_verdict == ProposalVerdict::accepted);
     CHECK (results[4].m_verdict == ProposalVerdict::conflict);
-    CHECK (judge.state() == ConfigurationState { 2, 4, "two" });
+    CHECK (stateMachine.state() == ConfigurationState { 2, 4, "two" });
 }
 
 TEST_CASE ("a reader that missed records waits for a checkpoint or for a peer's state")
 {
-    auto judge = makeJudge();
-    CHECK (judge.apply (read (0, 5, { proposal (5, 2, "three") }, 6)).empty());
-    CHECK (judge.state().m_version == 0);
+    auto stateMachine = makeStateMachine();
+    CHECK (stateMachine.apply (read (0, 5, { proposal (5, 2, "three") }, 6)).empty());
+    CHECK (stateMachine.state().m_version == 0);
 
     SUBCASE ("a checkpoint as of the offset before the proposal")
     {
-        const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
+        const auto results = stateMachine.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
         REQUIRE (results.size() == 1);
         CHECK (results[0].m_verdict == ProposalVerdict::accepted);
-        CHECK (judge.state().m_version == 3);
+        CHECK (stateMachine.state().m_version == 3);
     }
 
     SUBCASE ("a checkpoint that includes the proposal")
     {
-        judge.apply (read (6, 5, { checkpoint (6, 3, 5, "three") }, 7));
-        CHECK (judge.state().m_version == 3);
+        stateMachine.apply (read (6, 5, { checkpoint (6, 3, 5, "three") }, 7));
+        CHECK (stateMachine.state().m_version == 3);
     }
 
     SUBCASE ("a checkpoint from before the gap is ignored")
     {
-        judge.apply (read (6, 5, { checkpoint (6, 1, 2, "one") }, 7));
-        CHECK (judge.state().m_version == 0);
+        stateMachine.apply (read (6, 5, { checkpoint (6, 1, 2, "one") }, 7));
+        CHECK (stateMachine.state().m_version == 0);
     }
 
     SUBCASE ("a newer state of a peer")
     {
-        CHECK (judge.adopt ({ 7, 20, "seven" }));
-        CHECK (judge.nextOffset() == 21);
-        CHECK (judge.canDecide());
+        CHECK (stateMachine.adopt ({ 7, 20, "seven" }));
+        CHECK (stateMachine.nextOffset() == 21);
+        CHECK (stateMachine.canDecide());
     }
 
     SUBCASE ("a peer's state from before the gap, then a checkpoint")
     {
-        CHECK (judge.adopt ({ 1, 2, "one" }));
-        CHECK_FALSE (judge.canDecide());
-        const auto results = judge.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
+        CHECK (stateMachine.adopt ({ 1, 2, "one" }));
+        CHECK_FALSE (stateMachine.canDecide());
+        const auto results = stateMachine.apply (read (6, 5, { checkpoint (6, 2, 4, "two") }, 7));
         REQUIRE (results.size() == 1);
-        CHECK (judge.state().m_version == 3);
+        CHECK (stateMachine.state().m_version == 3);
     }
 }
 
 TEST_CASE ("the version never decreases")
 {
-    auto judge = makeJudge();
-    judge.apply (read (0, 0, { proposal (0, 0, "one"), proposal (1, 1, "two") }, 2));
-    CHECK_FALSE (judge.adopt ({ 1, 0, "one" }));
-    judge.apply (read (2, 0, { checkpoint (2, 1, 0, "one"), proposal (3, 0, "again") }, 4));
-    CHECK (judge.state().m_version == 2);
-    CHECK (judge.state().m_text == "two");
+    auto stateMachine = makeStateMachine();
+    stateMachine.apply (read (0, 0, { proposal (0, 0, "one"), proposal (1, 1, "two") }, 2));
+    CHECK_FALSE (stateMachine.adopt ({ 1, 0, "one" }));
+    stateMachine.apply (read (2, 0, { checkpoint (2, 1, 0, "one"), proposal (3, 0, "again") }, 4));
+    CHECK (stateMachine.state().m_version == 2);
+    CHECK (stateMachine.state().m_text == "two");
 
     // Reads of another range than requested, or of a log that has become shorter, are ignored.
-    CHECK (judge.apply (read (0, 0, { proposal (0, 2, "three") }, 1)).empty());
-    CHECK (judge.apply (read (4, 0, {}, 1)).empty());
-    CHECK (judge.state().m_version == 2);
+    CHECK (stateMachine.apply (read (0, 0, { proposal (0, 2, "three") }, 1)).empty());
+    CHECK (stateMachine.apply (read (4, 0, {}, 1)).empty());
+    CHECK (stateMachine.state().m_version == 2);
 }
 
 TEST_CASE (
@@ -121,7 +121,7 @@
     for (int round = 0; round < 300; ++round)
     {
         std::vector<ConfigurationRecord> log;
-        auto reference = makeJudge();
+        auto reference = makeStateMachine();
         std::vector<ConfigurationState> states;
 
         for (LogOffset offset = 0; offset < 40; ++offset)
@@ -145,7 +145,7 @@
             states.push_back (reference.state());
         }
 
-        auto reader = makeJudge();
+        auto reader = makeStateMachine();
         const auto earliest = static_cast<LogOffset> (random() % 30);
         ConfigurationVersion last = 0;
 
--- a/tests/contracts/HttpServer_test.cpp
+++ b/tests/contracts/HttpServer_test.cpp
@@ -32,7 +32,7 @@
     return { "127.0.0.1", acceptor.local_endpoint().port() };
 }
 
-/** A server that answers each request after 200 ms, or after blocking its thread for "/busy". */
+/** A server that responds to each request after 200 ms, or after blocking its thread for "/busy". */
 struct SlowServer
 {
     SlowServer()
@@ -49,14 +49,14 @@
     std::function<void()> onRequest (const HttpRequest& received, const HttpServer::Respond& respond)
     {
         if (received.m_target != "/busy")
-            return answerAfterDelay (respond);
+            return respondAfterDelay (respond);
 
         std::this_thread::sleep_for (busyTime);
         respond ({});
         return {};
     }
 
-    std::function<void()> answerAfterDelay (const HttpServer::Respond& respond)
+    std::function<void()> respondAfterDelay (const HttpServer::Respond& respond)
     {
         m_timer.expires_after (milliseconds (200));
         m_timer.async_wait ([respond] (const boost::system::error_code& error) {
@@ -86,7 +86,7 @@
 
     void write (std::string_view bytes) { asio::write (m_socket, asio::buffer (bytes)); }
 
-    bool hasAnswer()
+    bool hasResponse()
     {
         boost::system::error_code error;
         return m_socket.available (error) > 0;
@@ -139,7 +139,7 @@
     const bool hasReturned = runFor (server, milliseconds (800));
     senders.join();
     REQUIRE (hasReturned);
-    CHECK (split.hasAnswer());
+    CHECK (split.hasResponse());
     CHECK (server->m_disconnects == 0);
 }
 
--- a/tests/contracts/Logger_test.cpp
+++ b/tests/contracts/Logger_test.cpp
@@ -92,7 +92,7 @@
     CHECK (sink.pending() == 0);
 }
 
-TEST_CASE ("the rate of an event is limited, and lines of sampled requests are exempt from the limit")
+TEST_CASE ("the rate of an event is limited, and lines of sampled requests have a separate limit")
 {
     Pipe pipe;
     Logger logger ("node-1", Severity::info, pipe.writeEnd());
@@ -104,7 +104,7 @@
     logger.flush();
     const auto text = pipe.readAll();
 
-    // The loop may span two of the limit's intervals of one second.
+    // The loop may span two of the one-second intervals in which lines are counted.
     CHECK (std::count (text.begin(), text.end(), '\n') <= 2 * Logger::maxLinesPerSecond + 1);
     CHECK (text.find ("\"sampled\"") != std::string::npos);
 }
--- a/tests/contracts/Programs_test.cpp
+++ b/tests/contracts/Programs_test.cpp
@@ -189,9 +189,9 @@
     bytes[at] = 'x';
     const auto changed = replayTrace (cluster.writeFile ("changed", bytes), makeDeclarationsParser());
     CHECK ((! changed.ok() || changed->m_firstDifference.has_value()));
-    CHECK_FALSE (
-        replayTrace (cluster.writeFile ("cut", bytes.substr (0, bytes.size() - 3)), makeDeclarationsParser())
-            .ok());
+    CHECK_FALSE (replayTrace (cluster.writeFile ("truncated", bytes.substr (0, bytes.size() - 3)),
+                              makeDeclarationsParser())
+                     .ok());
 }
 
 } // namespace plankledge::test
--- a/tests/contracts/Wire_test.cpp
+++ b/tests/contracts/Wire_test.cpp
@@ -42,7 +42,7 @@
 {
     const auto bytes = payloadOf ({ protocolVersion, { "n1", 42 }, "n2", InquiryAnswer {} });
 
-    // The member count precedes the count of lost memories at the end of the frame.
+    // The number of members precedes the number of LostMemory entries at the end of the frame.
     return overwrite (bytes, bytes.size() - 8, count);
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-TEST_CASE ("a rumour fits a datagram, and hostile datagrams are rejected with a typed error")
+TEST_CASE ("a gossip message fits a datagram, and hostile datagrams are rejected with a typed error")
 {
     GossipMessage gossip;
     gossip.m_sender = { { "n1", 42 }, "plans", "a", { "127.0.0.1", 7001 }, MemberState::serving, 1 };
--- a/tests/platform/Credentials_test.cpp
+++ b/tests/platform/Credentials_test.cpp
@@ -29,8 +29,8 @@
     return { "127.0.0.1", acceptor.local_endpoint().port() };
 }
 
-/** Answers each request with its key and the headers that would be forwarded to a target; the status is 200
-    plus the CredentialKind. */
+/** Responds to each request with its key and the headers that would be forwarded to a target; the status is
+   200 plus the CredentialKind. */
 struct EchoServer
 {
     EchoServer()
@@ -84,9 +84,9 @@
         boost::system::error_code error;
         asio::write (socket, asio::buffer (bytes), error);
         socket.shutdown (tcp::socket::shutdown_send, error);
-        std::string answer;
-        asio::read (socket, asio::dynamic_buffer (answer), error);
-        return answer;
+        std::string response;
+        asio::read (socket, asio::dynamic_buffer (response), error);
+        return response;
     }
 
     asio::io_context m_context { 1 };
@@ -114,9 +114,9 @@
     std::vector<int> m_statuses; /**< all that are allowed */
 };
 
-int statusOf (const std::string& answer)
+int statusOf (const std::string& response)
 {
-    return answer.size() > 12 ? std::stoi (answer.substr (9, 3)) : 0;
+    return response.size() > 12 ? std::stoi (response.substr (9, 3)) : 0;
 }
 
 } // namespace
@@ -174,16 +174,16 @@
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
-        const auto answer = server.exchange (row.m_bytes);
-        const auto status = statusOf (answer);
+        const auto response = server.exchange (row.m_bytes);
+        const auto status = statusOf (response);
         CHECK (std::find (row.m_statuses.begin(), row.m_statuses.end(), status) != row.m_statuses.end());
-        const auto body = answer.find ("\r\n\r\n");
+        const auto body = response.find ("\r\n\r\n");
         REQUIRE (body != std::string::npos);
 
         if (status == badHttp)
             continue;
 
-        const auto headers = answer.substr (answer.find ('\n', body + 4));
+        const auto headers = response.substr (response.find ('\n', body + 4));
         CHECK (headers.find (key) == std::string::npos);
         CHECK (headers.find ("liar") == std::string::npos);
         CHECK (headers.find ("uthorization") == std::string::npos);
@@ -193,26 +193,27 @@
 
 TEST_CASE ("all 401 responses are identical, whatever the reason")
 {
-    const auto answerTo = [] (Reason reason) {
-        return encodeAnswer ("id", { Outcome::notRun, reason, {}, {} });
+    const auto responseFor = [] (Reason reason) {
+        return encodeResponse ("id", { Outcome::notRun, reason, {}, {} });
     };
 
-    const auto unknown = answerTo (Reason::keyUnknown);
+    const auto unknown = responseFor (Reason::keyUnknown);
     CHECK (unknown.m_status == 401);
     CHECK (findHeader (unknown.m_headers, "WWW-Authenticate") == "Bearer");
 
     for (const auto reason : { Reason::keyMissing, Reason::keyMalformed })
     {
-        CHECK (answerTo (reason).m_status == 401);
-        CHECK (answerTo (reason).m_body == unknown.m_body);
+        CHECK (responseFor (reason).m_status == 401);
+        CHECK (responseFor (reason).m_body == unknown.m_body);
     }
 
-    CHECK (encodeAnswer ("id", { Outcome::notRun, Reason::keyUnproven, {}, Milliseconds (700) }).m_status ==
+    CHECK (encodeResponse ("id", { Outcome::notRun, Reason::keyUnproven, {}, Milliseconds (700) }).m_status ==
            503);
-    const auto beyond = encodeAnswer ("id", { Outcome::notRun, Reason::beyondLimit, {}, Milliseconds (250) });
+    const auto beyond =
+        encodeResponse ("id", { Outcome::notRun, Reason::beyondLimit, {}, Milliseconds (250) });
     CHECK (beyond.m_status == 429);
     CHECK (findHeader (beyond.m_headers, "Retry-After") == "0.250");
-    CHECK (encodeAnswer ("id", { Outcome::notRun, Reason::limitUnknown, {}, {} }).m_status == 503);
+    CHECK (encodeResponse ("id", { Outcome::notRun, Reason::limitUnknown, {}, {} }).m_status == 503);
 }
 
 } // namespace plankledge::test
--- a/tests/platform/HttpCodec_test.cpp
+++ b/tests/platform/HttpCodec_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-HttpResponse targetAnswer (std::uint16_t status, HttpHeaders headers)
+HttpResponse targetResponse (std::uint16_t status, HttpHeaders headers)
 {
     HttpResponse response;
     response.m_status = status;
@@ -19,7 +19,7 @@
     return response;
 }
 
-struct AnswerRow
+struct ResponseRow
 {
     const char* m_name;
     std::uint16_t m_status;
@@ -27,7 +27,7 @@
     TargetReplyKind m_kind;
 };
 
-const AnswerRow answerRows[] = {
+const ResponseRow responseRows[] = {
     { "success", 200, {}, TargetReplyKind::answered },
     { "internal error of the target", 500, {}, TargetReplyKind::answered },
     { "timeout of the target", 504, {}, TargetReplyKind::answered },
@@ -125,17 +125,17 @@
 
 TEST_CASE ("a target's response counts as a rejection only if it confirms that the request did not run")
 {
-    for (const auto& row : answerRows)
+    for (const auto& row : responseRows)
     {
         CAPTURE (row.m_name);
-        CHECK (decodeTargetAnswer (targetAnswer (row.m_status, row.m_headers)).m_kind == row.m_kind);
+        CHECK (decodeTargetResponse (targetResponse (row.m_status, row.m_headers)).m_kind == row.m_kind);
     }
 }
 
 TEST_CASE ("a target's response is returned unchanged; a node's own error contains nothing from a target")
 {
     RelayResult result { Outcome::completed, Reason::none, { 201, { { "Server-Stamp", "s" } }, "body" }, {} };
-    const auto returned = encodeAnswer ("id-1", result);
+    const auto returned = encodeResponse ("id-1", result);
     CHECK (returned.m_status == 201);
     CHECK (returned.m_body == "body");
     CHECK (findHeader (returned.m_headers, "Server-Stamp") == "s");
@@ -144,10 +144,10 @@
     for (const auto& row : failureRows)
     {
         CAPTURE (nameOf (row.m_reason));
-        const auto answer = encodeAnswer ("id-1", failedResult (row.m_outcome, row.m_reason));
-        CHECK (answer.m_status == row.m_status);
-        CHECK (findHeader (answer.m_headers, "Server-Stamp").empty());
-        CHECK (findHeader (answer.m_headers, "Retry-After") == "1.250");
+        const auto response = encodeResponse ("id-1", failedResult (row.m_outcome, row.m_reason));
+        CHECK (response.m_status == row.m_status);
+        CHECK (findHeader (response.m_headers, "Server-Stamp").empty());
+        CHECK (findHeader (response.m_headers, "Retry-After") == "1.250");
 
         // These statuses tell the sender that the request did not run.
         if (row.m_outcome == Outcome::unknown)
@@ -158,9 +158,9 @@
 TEST_CASE ("a response is matched to its request by id")
 {
     const HttpHeaders request { { "Request-Id", "id-1" } };
-    CHECK (isResponseTo (request, targetAnswer (200, { { "request-id", "id-1" } })));
-    CHECK_FALSE (isResponseTo (request, targetAnswer (200, { { "Request-Id", "id-2" } })));
-    CHECK_FALSE (isResponseTo (request, targetAnswer (200, {})));
+    CHECK (isResponseTo (request, targetResponse (200, { { "request-id", "id-1" } })));
+    CHECK_FALSE (isResponseTo (request, targetResponse (200, { { "Request-Id", "id-2" } })));
+    CHECK_FALSE (isResponseTo (request, targetResponse (200, {})));
 }
 
 //==============================================================================
--- a/tests/platform/Store_test.cpp
+++ b/tests/platform/Store_test.cpp
@@ -73,7 +73,7 @@
 };
 
 const FaultRow faultRows[] = { { "503", StoreStandin::Fault::unavailable },
-                               { "429", StoreStandin::Fault::tooMany } };
+                               { "429", StoreStandin::Fault::tooManyRequests } };
 
 } // namespace
 
@@ -132,20 +132,20 @@
 }
 
 //==============================================================================
-/*  Regression test: after the store was restored from an older copy and had grown past the read position, a
+/*  Regression test: after the store was restored from a backup and had grown past the read position, a
     node continued from that position and missed the records rewritten before it. */
-TEST_CASE ("a store restored from an older copy is listed again before anything is confirmed")
+TEST_CASE ("a store restored from a backup is listed again before anything is confirmed")
 {
     Follower follower;
     follower.m_store.put (topicName, "removed", "1");
     REQUIRE (follower.waitForValue ("removed", "1"));
-    const auto copy = follower.m_store.copy();
+    const auto backup = follower.m_store.backup();
     follower.m_store.put (topicName, "kept", "1");
     follower.m_store.put (topicName, "removed", "");
     REQUIRE (follower.waitForValue ("removed", ""));
 
     // Rewritten in another order and after other records, so that the read position lies among them.
-    follower.m_store.restore (copy);
+    follower.m_store.restore (backup);
     follower.m_store.put (topicName, "removed", "2");
     follower.m_store.put (topicName, "other", "1");
     follower.m_store.put (topicName, "other", "2");
@@ -164,12 +164,12 @@
         follower.m_store.put (topicName, key, "1");
 
     REQUIRE (follower.waitForValue ("g", "1"));
-    const auto copy = follower.m_store.copy();
+    const auto backup = follower.m_store.backup();
     follower.m_store.put (topicName, "a", "2");
     REQUIRE (follower.waitForValue ("a", "2"));
-    follower.m_store.restore (copy);
+    follower.m_store.restore (backup);
     follower.runUntil ([&] { return ! follower.m_restoredEras.empty(); });
-    follower.m_store.restore (copy);
+    follower.m_store.restore (backup);
     follower.m_store.put (topicName, "a", "3");
     CHECK (follower.waitForValue ("a", "3"));
     CHECK (follower.m_restoredEras == std::vector<StoreEra> { 2, 3 });
@@ -232,7 +232,7 @@
     node.addEdge ([] (const Effect&) { return true; });
 
     const auto runFor = [&] (std::chrono::milliseconds time) { context.run_for (time); };
-    store.setFault (StoreStandin::Fault::answersLost);
+    store.setFault (StoreStandin::Fault::responseLost);
     node.start();
     runFor (std::chrono::milliseconds (500));
     CHECK_FALSE (store.newest ("keyed.nodes", "node-1").empty());
--- a/tests/support/Cluster.cpp
+++ b/tests/support/Cluster.cpp
@@ -112,11 +112,11 @@
 {
     for (auto& [instance, pair] : m_pairs)
     {
-        end (pair.m_node);
-        end (pair.m_target);
+        killProcess (pair.m_node);
+        killProcess (pair.m_target);
     }
 
-    end (m_platform);
+    killProcess (m_platform);
     std::filesystem::remove_all (m_folder);
 }
 
@@ -142,7 +142,7 @@
     return error == 0 ? pid : 0;
 }
 
-void Cluster::end (pid_t& pid)
+void Cluster::killProcess (pid_t& pid)
 {
     if (pid <= 0)
         return;
@@ -185,7 +185,7 @@
 void Cluster::startNode (const InstanceName& instance)
 {
     auto& pair = m_pairs.at (instance);
-    end (pair.m_node);
+    killProcess (pair.m_node);
     std::vector<std::string> flags { "--instance", instance,
                                      "--service",  pair.m_service,
                                      "--zone",     pair.m_options.m_zone,
@@ -202,7 +202,7 @@
     auto& pair = m_pairs.at (instance);
 
     if (signal == SIGKILL)
-        return end (pair.m_node);
+        return killProcess (pair.m_node);
 
     ::kill (pair.m_node, signal);
 }
@@ -213,7 +213,7 @@
     runs (instance);
 
     if (signal == SIGKILL)
-        return end (pair.m_target);
+        return killProcess (pair.m_target);
 
     ::kill (pair.m_target, signal);
 }
--- a/tests/support/Cluster.h
+++ b/tests/support/Cluster.h
@@ -108,7 +108,7 @@
 
     pid_t spawn (const std::string& program, const std::vector<std::string>& arguments,
                  const std::string& log);
-    void end (pid_t& pid);
+    void killProcess (pid_t& pid);
 
     std::string m_subnet;
     std::string m_folder;
--- a/tests/support/CrashSite.cpp
+++ b/tests/support/CrashSite.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr Duration step = Milliseconds (10);
-constexpr unsigned stepsPerTenth = 10;
+constexpr unsigned stepsPer100Ms = 10;
 constexpr unsigned stepsPerSecond = 100;
 constexpr Duration startupTime = std::chrono::seconds (1);
 constexpr std::array<const char*, 3> zones { "zone-a", "zone-b", "zone-c" };
@@ -157,7 +157,7 @@
 }
 
 std::vector<Ticket> CrashSite::runUnderLoad (Duration duration, unsigned perSecond,
-                                             const std::function<void()>& onEachTenth)
+                                             const std::function<void()>& onEach100Ms)
 {
     std::vector<Ticket> sent;
     const auto end = now() + duration;
@@ -168,8 +168,8 @@
         for (credit += perSecond; credit >= stepsPerSecond; credit -= stepsPerSecond)
             sent.push_back (sendToRandomNode ("/read/usual-" + std::to_string (m_sent)));
 
-        if (onEachTenth && steps % stepsPerTenth == 0)
-            onEachTenth();
+        if (onEach100Ms && steps % stepsPer100Ms == 0)
+            onEach100Ms();
 
         step();
     }
--- a/tests/support/CrashSite.h
+++ b/tests/support/CrashSite.h
@@ -52,11 +52,11 @@
 
     /** Sends requests with distinct paths to random nodes at a constant rate.
 
-        @param onEachTenth   called each 0.1 s
+        @param onEach100Ms   called every 0.1 s
         @returns             the requests' tickets
     */
     std::vector<Ticket> runUnderLoad (Duration duration, unsigned perSecond,
-                                      const std::function<void()>& onEachTenth = {});
+                                      const std::function<void()>& onEach100Ms = {});
 
     /** @returns the fraction of these requests that completed */
     double servedShare (const std::vector<Ticket>& tickets) const;
--- a/tests/support/RelayRig.cpp
+++ b/tests/support/RelayRig.cpp
@@ -110,12 +110,12 @@
 
 void RelayRig::cut (const InstanceName& one, const InstanceName& other)
 {
-    m_cuts.insert (std::minmax (one, other));
+    m_partitions.insert (std::minmax (one, other));
 }
 
-bool RelayRig::isCut (const InstanceName& one, const InstanceName& other) const
+bool RelayRig::isPartitioned (const InstanceName& one, const InstanceName& other) const
 {
-    return m_cuts.contains (std::minmax (one, other));
+    return m_partitions.contains (std::minmax (one, other));
 }
 
 void RelayRig::announce (const InstanceName& instance, AnnouncedState state)
@@ -274,7 +274,7 @@
     m_crashUpdates += std::holds_alternative<CrashUpdate> (effect.m_message) ? 1 : 0;
     m_hellos += std::holds_alternative<PeerHello> (effect.m_message) ? 1 : 0;
 
-    if (isCut (from, to))
+    if (isPartitioned (from, to))
         return;
 
     if (found == m_hosts.end() || ! found->second.m_isAlive)
@@ -297,7 +297,7 @@
 {
     const auto& to = m_links.at (effect.m_link);
 
-    if (! isCut (from, to))
+    if (! isPartitioned (from, to))
         deliver (to, PeerMessageReceived { 0, m_hosts.at (from).m_settings.m_self.m_id, effect.m_message },
                  latency, m_hosts.at (to).m_processIncarnation);
 }
--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -54,8 +54,9 @@
 
     void kill (const InstanceName& instance);
     void freeze (const InstanceName& instance, Duration duration);
+    /** Partitions two nodes from each other. */
     void cut (const InstanceName& one, const InstanceName& other);
-    void healAll() { m_cuts.clear(); }
+    void healAll() { m_partitions.clear(); }
 
     /** Announces the node's target. Only the serving state is announced again periodically. */
     void announce (const InstanceName& instance, AnnouncedState state = AnnouncedState::serving);
@@ -106,7 +107,7 @@
     /** Sends a route table to all nodes, as the store would. */
     void publish (const RouteTable& routes);
 
-    /** Applies an event to a node at once. */
+    /** Applies an event to a node immediately. */
     void applyEvent (const InstanceName& instance, EventBody event);
 
     /** Sends the member list and the routes in force to a node. */
@@ -195,14 +196,14 @@
             m_storeHook (from, effect);
     }
 
-    bool isCut (const InstanceName& one, const InstanceName& other) const;
+    bool isPartitioned (const InstanceName& one, const InstanceName& other) const;
 
     Time m_now { std::chrono::hours (1) };
     std::map<InstanceName, Host> m_hosts;
     std::vector<Member> m_members;
     std::priority_queue<Delivery, std::vector<Delivery>, std::greater<>> m_queue;
     std::uint64_t m_order = 0;
-    std::set<std::pair<InstanceName, InstanceName>> m_cuts;
+    std::set<std::pair<InstanceName, InstanceName>> m_partitions;
     std::map<LinkId, InstanceName> m_links; /**< to the instance that opened the link */
     std::map<std::pair<InstanceName, InstanceName>, LinkId> m_linkIds;
     std::map<std::string, RouteTable> m_tables;
--- a/tests/support/Rig.cpp
+++ b/tests/support/Rig.cpp
@@ -139,10 +139,10 @@
 
     for (const auto& [number, link] : m_links)
     {
-        if (link.m_to == id && ! isCut (instance, link.m_from.m_instance))
+        if (link.m_to == id && ! isPartitioned (instance, link.m_from.m_instance))
             post (link.m_from.m_instance, Milliseconds (1), PeerLost { instance });
 
-        if (link.m_from == id && ! isCut (instance, link.m_to.m_instance))
+        if (link.m_from == id && ! isPartitioned (instance, link.m_to.m_instance))
             post (link.m_to.m_instance, Milliseconds (1), LinkClosed { number });
     }
 
@@ -222,7 +222,7 @@
     const auto& self = host.m_settings.m_self.m_id;
     const auto found = m_hosts.find (effect.m_instance);
 
-    if (isCut (self.m_instance, effect.m_instance))
+    if (isPartitioned (self.m_instance, effect.m_instance))
         return;
 
     if (found == m_hosts.end() || ! found->second.m_isAlive)
@@ -251,7 +251,7 @@
     const auto found = m_links.find (effect.m_link);
     const auto& self = host.m_settings.m_self.m_id;
 
-    if (found == m_links.end() || isCut (self.m_instance, effect.m_instance))
+    if (found == m_links.end() || isPartitioned (self.m_instance, effect.m_instance))
         return;
 
     const auto to = found->second.m_from;
@@ -271,7 +271,7 @@
 
     for (const auto& [instance, other] : m_hosts)
         if (other.m_settings.m_self.m_endpoint == effect.m_endpoint && other.m_isAlive &&
-            ! isCut (self.m_instance, instance))
+            ! isPartitioned (self.m_instance, instance))
             post (instance, m_delay(), GossipReceived { *gossip });
 }
 
--- a/tests/support/Rig.h
+++ b/tests/support/Rig.h
@@ -53,8 +53,10 @@
     void restart (const InstanceName& instance);
     void freeze (const InstanceName& instance, Duration duration);
     void stop (const InstanceName& instance) { post (instance, Duration::zero(), StopRequested {}); }
-    void cut (const InstanceName& from, const InstanceName& to) { m_cuts.insert ({ from, to }); }
-    void healAll() { m_cuts.clear(); }
+
+    /** Drops the messages in one direction between two nodes. */
+    void cut (const InstanceName& from, const InstanceName& to) { m_partitions.insert ({ from, to }); }
+    void healAll() { m_partitions.clear(); }
 
     /** Sends a request to a node.
 
@@ -147,9 +149,9 @@
     void scheduleTick (Host& host);
     void carryOut (Host& host, const Effects& effects);
     LinkId linkBetween (const NodeId& from, const NodeId& to);
-    bool isCut (const InstanceName& from, const InstanceName& to) const
+    bool isPartitioned (const InstanceName& from, const InstanceName& to) const
     {
-        return m_cuts.contains ({ from, to });
+        return m_partitions.contains ({ from, to });
     }
 
     void carryOut (Host& host, const AnswerRequest& effect);
@@ -178,7 +180,7 @@
     std::map<InstanceName, Host> m_hosts;
     std::map<LinkId, Link> m_links;
     std::map<std::pair<NodeId, NodeId>, LinkId> m_linkIds;
-    std::set<std::pair<InstanceName, InstanceName>> m_cuts;
+    std::set<std::pair<InstanceName, InstanceName>> m_partitions;
     std::vector<JoinRecord> m_joinLog;
     std::vector<Run> m_runs;
     std::map<Ticket, Answer> m_answers;
--- a/tests/support/StoreFleet.cpp
+++ b/tests/support/StoreFleet.cpp
@@ -11,8 +11,8 @@
 constexpr Duration step = Milliseconds (5);
 constexpr Duration storeMaxReadWait = Milliseconds (28000);
 constexpr Duration storeResponseTimeout = Milliseconds (800);
-constexpr Duration pauseBetweenReads = Milliseconds (400);
-constexpr Duration retryPause = Milliseconds (600);
+constexpr Duration delayBetweenReads = Milliseconds (400);
+constexpr Duration retryDelay = Milliseconds (600);
 constexpr unsigned startsPerStep = 3;
 
 } // namespace
@@ -147,7 +147,7 @@
         readOne (key.first, key.second, reader);
 }
 
-/** A blocking read is never answered if the store becomes unreachable meanwhile; it ends by its timeout. */
+/** A blocking read gets no response if the store becomes unreachable meanwhile; it ends by its timeout. */
 void StoreFleet::readOne (const InstanceName& instance, StoreTopic topic, Reader& reader)
 {
     if (reader.m_readMode == TopicReadMode::rest || now() < reader.m_notBefore)
@@ -161,11 +161,11 @@
     const auto limit = (reader.m_isNextReadImmediate ? Duration::zero() : wait) + storeResponseTimeout;
 
     if (reader.m_isInterrupted && now() - reader.m_waitingSince >= limit)
-        return setReached (instance, topic, reader, false);
+        return setStoreReachable (instance, topic, reader, false);
 
     if (! reader.m_isInterrupted &&
         (endOf (topic) > reader.m_next || now() - reader.m_waitingSince >= limit - storeResponseTimeout))
-        answer (instance, topic, reader);
+        completeRead (instance, topic, reader);
 }
 
 void StoreFleet::call (const InstanceName& instance, StoreTopic topic, Reader& reader)
@@ -174,34 +174,36 @@
 
     if (! isReachable (instance))
     {
-        setReached (instance, topic, reader, false);
-        reader.m_notBefore = now() + storeResponseTimeout + retryPause;
+        setStoreReachable (instance, topic, reader, false);
+        reader.m_notBefore = now() + storeResponseTimeout + retryDelay;
         return;
     }
 
-    setReached (instance, topic, reader, true);
+    setStoreReachable (instance, topic, reader, true);
     reader.m_isWaiting = true;
     reader.m_isInterrupted = false;
     reader.m_waitingSince = now();
 
     if (! reader.m_next.isKnown())
-        answer (instance, topic, reader);
+        completeRead (instance, topic, reader);
 }
 
-void StoreFleet::setReached (const InstanceName& instance, StoreTopic topic, Reader& reader, bool isReached)
+void StoreFleet::setStoreReachable (const InstanceName& instance, StoreTopic topic, Reader& reader,
+                                    bool isStoreReachable)
 {
-    reader.m_isWaiting = reader.m_isWaiting && isReached;
+    reader.m_isWaiting = reader.m_isWaiting && isStoreReachable;
 
-    if (std::exchange (reader.m_isStoreReachable, isReached) == isReached || topic != StoreTopic::routes)
+    if (std::exchange (reader.m_isStoreReachable, isStoreReachable) == isStoreReachable ||
+        topic != StoreTopic::routes)
         return;
 
-    if (isReached)
+    if (isStoreReachable)
         m_readers[{ instance, StoreTopic::members }].m_isWaiting = false;
 
-    applyEvent (instance, StoreReachabilityChanged { isReached });
+    applyEvent (instance, StoreReachabilityChanged { isStoreReachable });
 }
 
-void StoreFleet::answer (const InstanceName& instance, StoreTopic topic, Reader& reader)
+void StoreFleet::completeRead (const InstanceName& instance, StoreTopic topic, Reader& reader)
 {
     const auto from = std::exchange (reader.m_next, endOf (topic));
     reader.m_isWaiting = false;
@@ -224,7 +226,7 @@
         return confirm (instance, topic, reader);
     }
 
-    reader.m_notBefore = now() + pauseBetweenReads;
+    reader.m_notBefore = now() + delayBetweenReads;
     std::map<InstanceName, std::optional<Member>> newest;
 
     // In a new era all records are read again.
--- a/tests/support/StoreFleet.h
+++ b/tests/support/StoreFleet.h
@@ -20,7 +20,7 @@
 
     void run (Duration duration);
 
-    /** Appends a version of the routes to the store, as an operator would. */
+    /** Appends a version of the routes to the store, as an operator does. */
     void write (ConfigurationVersion version);
     void write (const RouteTable& routes);
 
@@ -79,8 +79,9 @@
     void readAll();
     void readOne (const InstanceName& instance, StoreTopic topic, Reader& reader);
     void call (const InstanceName& instance, StoreTopic topic, Reader& reader);
-    void setReached (const InstanceName& instance, StoreTopic topic, Reader& reader, bool isReached);
-    void answer (const InstanceName& instance, StoreTopic topic, Reader& reader);
+    void setStoreReachable (const InstanceName& instance, StoreTopic topic, Reader& reader,
+                            bool isStoreReachable);
+    void completeRead (const InstanceName& instance, StoreTopic topic, Reader& reader);
     void confirm (const InstanceName& instance, StoreTopic topic, const Reader& reader);
     bool isReachable (const InstanceName& instance) const;
     StorePosition endOf (StoreTopic topic) const;
--- a/tests/support/StoreStandin.cpp
+++ b/tests/support/StoreStandin.cpp
@@ -71,22 +71,23 @@
     };
 }
 
-std::function<void()> StoreStandin::onRequest (const HttpRequest& request, const HttpServer::Respond& answer)
+std::function<void()> StoreStandin::onRequest (const HttpRequest& request,
+                                               const HttpServer::Respond& respondWithoutEra)
 {
-    const auto respond = withEra (answer);
+    const auto respond = withEra (respondWithoutEra);
     const auto topic = queryValue (request.m_target, "topic");
 
-    if (m_fault == Fault::silent)
+    if (m_fault == Fault::noResponse)
         m_unanswered.push_back (respond);
     else if (m_fault == Fault::unavailable)
         respond (makeStatus (503));
-    else if (m_fault == Fault::tooMany)
+    else if (m_fault == Fault::tooManyRequests)
         respond (makeStatus (429));
     else if (request.m_target.starts_with ("/-/log-append"))
     {
         const auto appended = append (request, topic);
 
-        if (m_fault == Fault::answersLost)
+        if (m_fault == Fault::responseLost)
             m_unanswered.push_back (respond);
         else
             respond (appended);
--- a/tests/support/StoreStandin.h
+++ b/tests/support/StoreStandin.h
@@ -22,10 +22,10 @@
     enum class Fault
     {
         none,
-        unavailable, /**< responds with 503 and does nothing */
-        tooMany,     /**< responds with 429 and does nothing */
-        silent,      /**< never responds */
-        answersLost  /**< appends take effect, but are not responded to */
+        unavailable,     /**< responds with 503 and does nothing */
+        tooManyRequests, /**< responds with 429 and does nothing */
+        noResponse,      /**< never responds */
+        responseLost     /**< appends take effect, but get no response */
     };
 
     struct Record
@@ -43,16 +43,16 @@
     Endpoint endpoint() const { return m_endpoint; }
     void setFault (Fault fault) { m_fault = fault; }
 
-    /** Appends a record regardless of the fault, as an operator would. */
+    /** Appends a record regardless of the fault, as an operator does. */
     void put (const std::string& topic, const std::string& key, const std::string& value);
 
     /** @returns a backup of all topics */
-    auto copy() const { return m_topics; }
+    auto backup() const { return m_topics; }
 
     /** Restores a backup: repeats the blocking reads, reuses offsets and increments the era. */
-    template <class Copy> void restore (const Copy& copy)
+    template <class Backup> void restore (const Backup& backup)
     {
-        m_topics = copy;
+        m_topics = backup;
         ++m_era;
         wakeReaders();
     }
@@ -85,7 +85,8 @@
     };
 
     HttpServer::Respond withEra (const HttpServer::Respond& respond) const;
-    std::function<void()> onRequest (const HttpRequest& request, const HttpServer::Respond& answer);
+    std::function<void()> onRequest (const HttpRequest& request,
+                                     const HttpServer::Respond& respondWithoutEra);
     HttpResponse append (const HttpRequest& request, const std::string& topic);
     HttpResponse list (const std::string& topic, const std::string& after) const;
     void read (const std::string& topic, std::size_t from, const HttpServer::Respond& respond);
