--- a/modules/plankledge_core/PeerMessages.h
+++ b/modules/plankledge_core/PeerMessages.h
@@ -290,7 +290,7 @@
 /** Requests the declarations in force at the receiver, if they are newer. */
 struct ConfigurationPull
 {
-    ConfigurationVersion m_have = 0;
+    ConfigurationVersion m_have = 0; /**< in force at the sender */
 
     auto operator<=> (const ConfigurationPull&) const = default;
 
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -284,7 +284,7 @@
 /** Requests the routes in force at the receiver, if they are newer. */
 struct RoutesPull
 {
-    ConfigurationVersion m_have = 0;
+    ConfigurationVersion m_have = 0; /**< in force at the sender */
 
     auto operator<=> (const RoutesPull&) const = default;
 
--- a/programs/plankledge-replay.cpp
+++ b/programs/plankledge-replay.cpp
@@ -84,7 +84,7 @@
                 report.m_maxLatenessMs);
 }
 
-int sendScenario()
+int runScenario()
 {
     std::ifstream file (FLAGS_scenario);
     const auto scenario = parseScenario (std::string (std::istreambuf_iterator<char> (file), {}));
@@ -141,7 +141,7 @@
         return replayDecisions();
 
     if (! FLAGS_scenario.empty())
-        return sendScenario();
+        return runScenario();
 
     fmt::print (stderr, "either --decisions or --scenario is required\n");
     return exitBadSettings;
--- a/standins/standin-platform.cpp
+++ b/standins/standin-platform.cpp
@@ -1,5 +1,5 @@
-/*  standin-platform: in-memory fake of the platform for tests: an append-only log with offsets and a list of
-    instances, both over HTTP and JSON. Faults are injected at /control. */
+/*  standin-platform: in-memory stand-in for the platform in tests: an append-only log with offsets and a list
+    of instances, both over HTTP and JSON. Faults are injected at /control. */
 
 #include "plankledge_core/Time.h"
 #include "plankledge_runtime/HttpServer.h"
@@ -249,7 +249,7 @@
 
 int main (int argc, char** argv)
 {
-    gflags::SetUsageMessage ("in-memory fake of the platform's log and instance list");
+    gflags::SetUsageMessage ("in-memory stand-in for the platform's log and instance list");
     gflags::ParseCommandLineFlags (&argc, &argv, true);
     SettingsCheck check;
     const auto endpoint = check.endpoint ("listen", FLAGS_listen);
--- a/standins/standin-target.cpp
+++ b/standins/standin-target.cpp
@@ -1,5 +1,5 @@
-/*  standin-target: fake target for tests, with slots, a service time, calls to further services through its
-    node, drain and cancellation. Faults are injected at /control; /runs reports what it ran. */
+/*  standin-target: stand-in for a target in tests, with slots, a service time, calls to further services
+    through its node, drain and cancellation. Faults are injected at /control; /runs reports what it ran. */
 
 #include "plankledge_core/Random.h"
 #include "plankledge_core/Time.h"
@@ -354,7 +354,7 @@
 
 int main (int argc, char** argv)
 {
-    gflags::SetUsageMessage ("fake target for tests");
+    gflags::SetUsageMessage ("stand-in for a target in tests");
     gflags::ParseCommandLineFlags (&argc, &argv, true);
     SettingsCheck check;
     const auto endpoint = check.endpoint ("listen", FLAGS_listen);
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -406,18 +406,18 @@
 
 TEST_CASE ("a node learns of unknown members from the answers to its inquiry")
 {
-    Mechanisms off;
-    off.m_membersInAnswers = false;
+    Mechanisms mechanisms;
+    mechanisms.m_membersInAnswers = false;
     CHECK (runsWithUnknownMember ({}, false) == 1);
-    CHECK (runsWithUnknownMember (off, false) == 2);
+    CHECK (runsWithUnknownMember (mechanisms, false) == 2);
 }
 
 TEST_CASE ("a leave notice contains the members that the leaving node knows")
 {
-    Mechanisms off;
-    off.m_membersInLeaveNotice = false;
+    Mechanisms mechanisms;
+    mechanisms.m_membersInLeaveNotice = false;
     CHECK (runsWithUnknownMember ({}, true) == 1);
-    CHECK (runsWithUnknownMember (off, true) == 2);
+    CHECK (runsWithUnknownMember (mechanisms, true) == 2);
 }
 
 } // namespace plankledge::test
--- a/tests/contracts/ConfigurationStateMachine_test.cpp
+++ b/tests/contracts/ConfigurationStateMachine_test.cpp
@@ -1,5 +1,5 @@
 /*  Contract of ConfigurationStateMachine: all readers of the configuration stream reach the same verdicts,
-   whichever part of the stream they read, and the version never decreases. */
+    whichever part of the stream they read, and the version never decreases. */
 
 #include "plankledge_policy/configuration/ConfigurationStateMachine.h"
 #include <doctest/doctest.h>
--- a/tests/platform/Credentials_test.cpp
+++ b/tests/platform/Credentials_test.cpp
@@ -30,7 +30,7 @@
 }
 
 /** Responds to each request with its key and the headers that would be forwarded to a target; the status is
-   200 plus the CredentialKind. */
+    200 plus the CredentialKind. */
 struct EchoServer
 {
     EchoServer()
--- a/tests/platform/MalformedInputFuzz_test.cpp
+++ b/tests/platform/MalformedInputFuzz_test.cpp
@@ -263,7 +263,7 @@
     }
 }
 
-TEST_CASE ("frames about members and the store survive encoding and decoding")
+TEST_CASE ("encoding and decoding frames about members and the store yields the same frames")
 {
     const Member member { { "node-1", 7 }, "plans", "a", { "10.0.0.1", 7000 }, MemberState::serving, 0 };
     const Frame frames[] = {
