--- a/programs/plankledge-replay.cpp
+++ b/programs/plankledge-replay.cpp
@@ -81,10 +81,10 @@
     fmt::print ("recovery of goodput {:.1f} s, of goodput and latency {:.1f} s, attempts per request {:.2f}, "
                 "maximum lateness of the load generator {:.1f} ms\n",
                 report.m_goodputRecoverySeconds, report.m_recoverySeconds, report.m_attemptsPerRequest,
-                report.m_worstLatenessMs);
+                report.m_maxLatenessMs);
 }
 
-int sendScenario()
+int runScenario()
 {
     std::ifstream file (FLAGS_scenario);
     const auto scenario = parseScenario (std::string (std::istreambuf_iterator<char> (file), {}));
@@ -141,7 +141,7 @@
         return replayDecisions();
 
     if (! FLAGS_scenario.empty())
-        return sendScenario();
+        return runScenario();
 
     fmt::print (stderr, "either --decisions or --scenario is required\n");
     return exitBadSettings;
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -19,7 +19,7 @@
 constexpr const char* declarations = R"({"services":{"lodgement":{"slots":10,"operations":{"lodge":
     {"class":"critical","repeatable":false,"longest_wait_ms":2000,"retry_budget":1,"record_window_ms":8000}}}}})";
 
-/** Exceeds record window plus longest wait, so that members are no longer new. */
+/** Exceeds the sum of the record window and the maximum wait, so that members are no longer new. */
 constexpr Duration warmUp = std::chrono::seconds (13);
 
 constexpr Duration trialDuration = std::chrono::seconds (24);
@@ -191,7 +191,8 @@
     void fault (int kind)
     {
         const auto instance = anyInstance();
-        printStep (instance, fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 cut)", kind));
+        printStep (instance,
+                   fmt::format ("fault {} (0 kill, 1 restart, 2 freeze, 3 stop, 4 partition)", kind));
 
         switch (kind)
         {
@@ -214,9 +215,9 @@
         if (chance (50))
             m_rig.cut (other, instance);
 
-        const auto cutDuration =
+        const auto partitionDuration =
             pick<Duration> ({ Milliseconds (1000), Milliseconds (4000), Milliseconds (10000) });
-        m_steps.emplace (elapsed() + cutDuration, [this] { m_rig.healAll(); });
+        m_steps.emplace (elapsed() + partitionDuration, [this] { m_rig.healAll(); });
     }
 
     void printStep (const InstanceName& instance, const std::string& text) const
@@ -405,18 +406,18 @@
 
 TEST_CASE ("a node learns of unknown members from the answers to its inquiry")
 {
-    Mechanisms off;
-    off.m_membersInAnswers = false;
+    Mechanisms mechanisms;
+    mechanisms.m_membersInAnswers = false;
     CHECK (runsWithUnknownMember ({}, false) == 1);
-    CHECK (runsWithUnknownMember (off, false) == 2);
+    CHECK (runsWithUnknownMember (mechanisms, false) == 2);
 }
 
 TEST_CASE ("a leave notice contains the members that the leaving node knows")
 {
-    Mechanisms off;
-    off.m_membersInLeaveNotice = false;
+    Mechanisms mechanisms;
+    mechanisms.m_membersInLeaveNotice = false;
     CHECK (runsWithUnknownMember ({}, true) == 1);
-    CHECK (runsWithUnknownMember (off, true) == 2);
+    CHECK (runsWithUnknownMember (mechanisms, true) == 2);
 }
 
 } // namespace plankledge::test
