--- a/modules/plankledge_core/ContentDigest.cpp
+++ b/modules/plankledge_core/ContentDigest.cpp
@@ -5,8 +5,8 @@
 namespace plankledge
 {
 
-ContentDigest digestOf (const OrganisationName& organisation, std::string_view host,
-                        const RelayContent& content) noexcept
+ContentDigest computeContentDigest (const OrganisationName& organisation, std::string_view host,
+                                    const RelayContent& content) noexcept
 {
     auto digest = hashText (organisation);
 
--- a/modules/plankledge_core/ContentDigest.h
+++ b/modules/plankledge_core/ContentDigest.h
@@ -20,7 +20,7 @@
     @param host           the host that the request names
     @returns a hash that is the same on every node
 */
-ContentDigest digestOf (const OrganisationName& organisation, std::string_view host,
-                        const RelayContent& content) noexcept;
+ContentDigest computeContentDigest (const OrganisationName& organisation, std::string_view host,
+                                    const RelayContent& content) noexcept;
 
 } // namespace plankledge
--- a/modules/plankledge_core/CrashMessages.h
+++ b/modules/plankledge_core/CrashMessages.h
@@ -73,11 +73,11 @@
 /** Requests all crash reports and acquittals that the receiver stores. */
 struct CrashPull
 {
-    std::uint64_t m_have = 0; /**< the sender's PeerStatus::m_crashes */
+    std::uint64_t m_knownState = 0; /**< the sender's PeerStatus::m_crashes */
 
     auto operator<=> (const CrashPull&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_have); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_knownState); }
 };
 
 } // namespace plankledge
--- a/modules/plankledge_core/PeerMessages.h
+++ b/modules/plankledge_core/PeerMessages.h
@@ -155,11 +155,14 @@
 {
     CallId m_inquiryId = 0;
     std::string m_key;
-    Duration m_fenceFor {};
+    Duration m_fenceDuration {};
 
     auto operator<=> (const Inquiry&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_inquiryId, m_key, m_fenceFor); }
+    template <class Archive> void serialize (Archive& archive)
+    {
+        archive (m_inquiryId, m_key, m_fenceDuration);
+    }
 };
 
 /** Answers an Inquiry. An unknown key has been fenced before this is sent. */
@@ -290,11 +293,11 @@
 /** Requests the declarations in force at the receiver, if they are newer. */
 struct ConfigurationPull
 {
-    ConfigurationVersion m_have = 0; /**< in force at the sender */
+    ConfigurationVersion m_knownState = 0; /**< in force at the sender */
 
     auto operator<=> (const ConfigurationPull&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_have); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_knownState); }
 };
 
 /** A version of the declarations in force, and the last log offset that it includes. */
--- a/modules/plankledge_core/RelayMessages.h
+++ b/modules/plankledge_core/RelayMessages.h
@@ -28,7 +28,7 @@
 /** Name of a route, as configured. */
 using RouteName = std::string;
 
-/** Digest that identifies equivalent requests, see digestOf(). */
+/** Digest that identifies equivalent requests, see computeContentDigest(). */
 using ContentDigest = std::uint64_t;
 
 /** Identifies one incarnation of a target. */
@@ -136,7 +136,7 @@
     ServiceName m_callerService; /**< service of the instance at which the request arrived */
     RouteName m_route;
     OrganisationName m_organisation;       /**< owner of the API key; empty if the route requires none */
-    ContentDigest m_digest = 0;            /**< see digestOf() */
+    ContentDigest m_digest = 0;            /**< see computeContentDigest() */
     std::optional<Duration> m_keyValidFor; /**< time from sending within which it must start to run;
                                               nullopt: unbounded */
     std::uint16_t m_effectivePriority = 0; /**< smaller values are run first */
@@ -261,11 +261,11 @@
 /** Requests the members that changed since the sender's position in the store. */
 struct MembersPull
 {
-    StorePosition m_have; /**< the sender's StoreView::m_membersEnd */
+    StorePosition m_knownState; /**< the sender's StoreView::m_membersEnd */
 
     auto operator<=> (const MembersPull&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_have); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_knownState); }
 };
 
 /** Answers MembersPull. */
@@ -284,11 +284,11 @@
 /** Requests the routes in force at the receiver, if they are newer. */
 struct RoutesPull
 {
-    ConfigurationVersion m_have = 0; /**< in force at the sender */
+    ConfigurationVersion m_knownState = 0; /**< in force at the sender */
 
     auto operator<=> (const RoutesPull&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_have); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_knownState); }
 };
 
 /** Source text of a version of the routes. */
@@ -332,12 +332,12 @@
 /** Asks the node that counts an organisation's requests to admit one request under its rate limit. */
 struct LimitQuery
 {
-    CallId m_question = 0; /**< assigned by the sender */
+    CallId m_queryId = 0; /**< assigned by the sender */
     OrganisationName m_organisation;
 
     auto operator<=> (const LimitQuery&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_question, m_organisation); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_queryId, m_organisation); }
 };
 
 enum class LimitVerdict : std::uint8_t
@@ -350,13 +350,13 @@
 /** Answers LimitQuery. */
 struct LimitAnswer
 {
-    CallId m_question = 0;
+    CallId m_queryId = 0;
     LimitVerdict m_verdict = LimitVerdict::unknown;
     Duration m_wait {}; /**< if beyond: time until a request would be within the limit */
 
     auto operator<=> (const LimitAnswer&) const = default;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_question, m_verdict, m_wait); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_queryId, m_verdict, m_wait); }
 };
 
 } // namespace plankledge
--- a/modules/plankledge_formats/DeclarationsJson.cpp
+++ b/modules/plankledge_formats/DeclarationsJson.cpp
@@ -247,7 +247,7 @@
 {
     ParsedDeclarations parsed;
 
-    if (text.size() > maximumDeclarationBytes)
+    if (text.size() > maxDeclarationBytes)
     {
         parsed.m_faults.push_back ({ "", DeclarationError::tooLarge });
         return parsed;
--- a/modules/plankledge_formats/DeclarationsJson.h
+++ b/modules/plankledge_formats/DeclarationsJson.h
@@ -43,7 +43,7 @@
 };
 
 /** Maximum size of the JSON text, in bytes; longer texts are rejected. */
-inline constexpr std::size_t maximumDeclarationBytes = 1U << 20U;
+inline constexpr std::size_t maxDeclarationBytes = 1U << 20U;
 
 //==============================================================================
 /** Parses and validates declarations. All validation errors are collected.
--- a/modules/plankledge_load/LoadRunner.cpp
+++ b/modules/plankledge_load/LoadRunner.cpp
@@ -34,7 +34,7 @@
         for (const auto& endpoint : endpoints)
             m_clients[service].push_back (
                 { endpoint, std::make_unique<TargetClient> (
-                                context, [this] (CallId call, const TargetClient::Answer& answer) {
+                                context, [this] (CallId call, const TargetClient::Result& answer) {
                                     onAnswer (static_cast<std::size_t> (call), answer);
                                 }) });
 }
@@ -141,12 +141,12 @@
         if (current.m_client == nullptr || current.m_result.m_attempts != attempt)
             return;
 
-        current.m_client->abandon (index);
+        current.m_client->cancelRequest (index);
         onAnswer (index, TargetFailure::broken);
     });
 }
 
-void LoadRunner::onAnswer (std::size_t index, const TargetClient::Answer& answer)
+void LoadRunner::onAnswer (std::size_t index, const TargetClient::Result& answer)
 {
     auto& pending = m_pending[index];
     auto& result = pending.m_result;
--- a/modules/plankledge_load/LoadRunner.h
+++ b/modules/plankledge_load/LoadRunner.h
@@ -46,7 +46,7 @@
 
     void start (std::size_t index);
     void send (std::size_t index);
-    void onAnswer (std::size_t index, const TargetClient::Answer& answer);
+    void onAnswer (std::size_t index, const TargetClient::Result& answer);
     void scheduleRetry (std::size_t index, Duration delay);
     Duration elapsed() const;
     void schedule (Duration time, std::function<void()> action);
--- a/modules/plankledge_policy/NodeSettings.h
+++ b/modules/plankledge_policy/NodeSettings.h
@@ -24,7 +24,7 @@
     bool m_membersInAnswers = true;
     bool m_fencesInAcknowledgement = true;
     bool m_transitTime = true;
-    bool m_newMembersMustBeAsked = true;
+    bool m_inquiriesToFormerCandidates = true;
     bool m_membersInLeaveNotice = true;
 
     auto operator<=> (const Mechanisms&) const = default;
@@ -32,7 +32,8 @@
     template <class Archive> void serialize (Archive& archive)
     {
         archive (m_fences, m_joinAcknowledgement, m_handover, m_lostMemory, m_membersInAnswers,
-                 m_fencesInAcknowledgement, m_transitTime, m_newMembersMustBeAsked, m_membersInLeaveNotice);
+                 m_fencesInAcknowledgement, m_transitTime, m_inquiriesToFormerCandidates,
+                 m_membersInLeaveNotice);
     }
 };
 
--- a/modules/plankledge_policy/configuration/ConfigurationSync.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.cpp
@@ -96,7 +96,7 @@
 void ConfigurationSync::onPull (Turn& turn, LinkId link, const NodeId& from,
                                 const ConfigurationPull& pull) const
 {
-    if (pull.m_have < version())
+    if (pull.m_knownState < version())
         turn.emit (ReplyOnLink { link, from.m_instance, m_stateMachine.state() });
 }
 
--- a/modules/plankledge_policy/idempotency/InquiryCoordinator.cpp
+++ b/modules/plankledge_policy/idempotency/InquiryCoordinator.cpp
@@ -29,7 +29,7 @@
 {
     const auto& query = pending.m_query;
     const auto keyHash = hashText (query.m_key);
-    const auto window = turn.mechanisms().m_newMembersMustBeAsked
+    const auto window = turn.mechanisms().m_inquiriesToFormerCandidates
                             ? std::optional<Duration> (query.m_window + query.m_maxTransitTime)
                             : std::nullopt;
 
@@ -136,7 +136,7 @@
     const bool isKnown = record != nullptr && record->m_state != RecordState::inquiring;
 
     if (! isKnown && turn.mechanisms().m_fences)
-        m_records.fence (hashText (inquiry.m_key), turn.now() + inquiry.m_fenceFor);
+        m_records.fence (hashText (inquiry.m_key), turn.now() + inquiry.m_fenceDuration);
 
     return { inquiry.m_inquiryId, isKnown, m_membership.ownServiceMembers(),
              m_membership.lostMemories (turn.now()) };
--- a/modules/plankledge_policy/relay/RelayDecisions.cpp
+++ b/modules/plankledge_policy/relay/RelayDecisions.cpp
@@ -419,7 +419,7 @@
 
 void RelayDecisions::onMessage (LinkId link, const NodeId& from, const MembersPull& message)
 {
-    m_turn.emit (ReplyOnLink { link, from.m_instance, m_store.changesSince (message.m_have) });
+    m_turn.emit (ReplyOnLink { link, from.m_instance, m_store.changesSince (message.m_knownState) });
 }
 
 void RelayDecisions::onMessage (LinkId, const NodeId& from, const MembersUpdate& message)
--- a/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
+++ b/modules/plankledge_policy/relay/crashes/CrashGuard.cpp
@@ -140,7 +140,7 @@
 //==============================================================================
 void CrashGuard::onPull (Turn& turn, LinkId link, const InstanceName& from, const CrashPull& pull) const
 {
-    if (pull.m_have != m_crashHistory.digest())
+    if (pull.m_knownState != m_crashHistory.digest())
         turn.emit (ReplyOnLink { link, from, m_crashHistory.snapshot (turn.now()) });
 }
 
--- a/modules/plankledge_policy/relay/entry/RelayEntry.cpp
+++ b/modules/plankledge_policy/relay/entry/RelayEntry.cpp
@@ -110,7 +110,7 @@
             request.m_keyValidUntil = turn.now() + *validity;
     }
 
-    request.m_digest = digestOf (request.m_organisation, received.m_host, received.m_content);
+    request.m_digest = computeContentDigest (request.m_organisation, received.m_host, received.m_content);
 
     // Credentials are forwarded only if this system does not itself use them for authentication.
     if (! routes.organisations().areDeclared())
--- a/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
+++ b/modules/plankledge_policy/relay/limits/OrganisationLimits.cpp
@@ -96,12 +96,12 @@
 {
     const auto decision = decideAtHome (question.m_organisation, turn.now());
     turn.emit (
-        ReplyOnLink { link, from, LimitAnswer { question.m_question, decision.m_verdict, decision.m_wait } });
+        ReplyOnLink { link, from, LimitAnswer { question.m_queryId, decision.m_verdict, decision.m_wait } });
 }
 
 void OrganisationLimits::onAnswer (Turn& turn, const InstanceName& from, const LimitAnswer& answer)
 {
-    const auto found = m_questions.find (answer.m_question);
+    const auto found = m_questions.find (answer.m_queryId);
 
     if (found == m_questions.end() || found->second.m_home != from)
         return; // already decided locally, or cancelled
--- a/modules/plankledge_policy/relay/routes/RouteSync.cpp
+++ b/modules/plankledge_policy/relay/routes/RouteSync.cpp
@@ -68,7 +68,7 @@
 
 void RouteSync::onPull (Turn& turn, LinkId link, const InstanceName& peer, const RoutesPull& pull) const
 {
-    if (version() > pull.m_have)
+    if (version() > pull.m_knownState)
         turn.emit (ReplyOnLink { link, peer, RoutesText { m_text } });
 }
 
--- a/modules/plankledge_runtime/CallerEdge.cpp
+++ b/modules/plankledge_runtime/CallerEdge.cpp
@@ -61,7 +61,7 @@
     };
 }
 
-void CallerEdge::carryOut (const AnswerRequest& effect)
+void CallerEdge::execute (const AnswerRequest& effect)
 {
     const auto found = m_pendingRequests.find (effect.m_ticket);
 
--- a/modules/plankledge_runtime/CallerEdge.h
+++ b/modules/plankledge_runtime/CallerEdge.h
@@ -25,7 +25,7 @@
     /** Closes each caller connection after its next response. */
     void closeAfterResponses() { m_callerServer.closeAfterResponses(); }
 
-    void carryOut (const AnswerRequest& effect);
+    void execute (const AnswerRequest& effect);
 
 private:
     //==============================================================================
--- a/modules/plankledge_runtime/Http.h
+++ b/modules/plankledge_runtime/Http.h
@@ -37,9 +37,9 @@
 };
 
 /** The maximum size of a request or response body. */
-inline constexpr std::size_t maximumBodyBytes = 1U << 20U;
+inline constexpr std::size_t maxBodyBytes = 1U << 20U;
 
 /** The maximum size of a header section. */
-inline constexpr std::size_t maximumHeaderBytes = 16U << 10U;
+inline constexpr std::size_t maxHeaderBytes = 16U << 10U;
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/HttpServer.cpp
+++ b/modules/plankledge_runtime/HttpServer.cpp
@@ -137,8 +137,8 @@
         for (bool keepAlive = true; keepAlive;)
         {
             http::request_parser<http::string_body> parser;
-            parser.header_limit (maximumHeaderBytes);
-            parser.body_limit (maximumBodyBytes);
+            parser.header_limit (maxHeaderBytes);
+            parser.body_limit (maxBodyBytes);
             stream.expires_after (idleTimeout);
             const auto [error, size] = co_await http::async_read (stream, buffer, parser, asTuple);
 
--- a/modules/plankledge_runtime/LogEdge.cpp
+++ b/modules/plankledge_runtime/LogEdge.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-void LogEdge::carryOut (const FetchList&)
+void LogEdge::execute (const FetchList&)
 {
     m_client.fetchList ([this] (const auto& list) {
         reportError (list.status());
@@ -35,7 +35,7 @@
     });
 }
 
-void LogEdge::carryOut (const ReadLog& effect)
+void LogEdge::execute (const ReadLog& effect)
 {
     const auto stream = effect.m_stream == LogStream::configuration ? configurationStream : joinStream;
     m_client.readLog (stream, effect.m_from, [this, effect] (const auto& page) { onPage (effect, page); });
@@ -78,13 +78,13 @@
     m_node.submit (std::move (event));
 }
 
-void LogEdge::carryOut (const AppendJoin& effect)
+void LogEdge::execute (const AppendJoin& effect)
 {
     m_client.append (joinStream, encodeJoinRecord (effect.m_member),
                      [this] (const auto& status) { reportError (status); });
 }
 
-void LogEdge::carryOut (const AppendCheckpoint& effect)
+void LogEdge::execute (const AppendCheckpoint& effect)
 {
     const auto& state = effect.m_state;
     const ConfigurationRecord record {
--- a/modules/plankledge_runtime/LogEdge.h
+++ b/modules/plankledge_runtime/LogEdge.h
@@ -16,10 +16,10 @@
     LogEdge (boost::asio::io_context& context, Node& node, const Endpoint& platform, const InstanceName& self,
              NodeMetrics& metrics);
 
-    void carryOut (const FetchList& effect);
-    void carryOut (const ReadLog& effect);
-    void carryOut (const AppendJoin& effect);
-    void carryOut (const AppendCheckpoint& effect);
+    void execute (const FetchList& effect);
+    void execute (const ReadLog& effect);
+    void execute (const AppendJoin& effect);
+    void execute (const AppendCheckpoint& effect);
 
     /** @returns bytes of requests and responses since the start */
     std::uint64_t bytes() const noexcept { return m_client.bytes(); }
--- a/modules/plankledge_runtime/Node.h
+++ b/modules/plankledge_runtime/Node.h
@@ -23,14 +23,14 @@
 */
 using EffectHandler = std::function<bool (const Effect&)>;
 
-/** @returns a handler for all effects for which the edge has a carryOut(). The edge must outlive it. */
+/** @returns a handler for all effects for which the edge has a execute(). The edge must outlive it. */
 template <class Edge> EffectHandler handlerOf (Edge& edge)
 {
     return [&edge] (const Effect& effect) {
         const auto tryOne = [&edge] (const auto& value) {
-            if constexpr (requires { edge.carryOut (value); })
+            if constexpr (requires { edge.execute (value); })
             {
-                edge.carryOut (value);
+                edge.execute (value);
                 return true;
             }
             else
--- a/modules/plankledge_runtime/PeerEdge.cpp
+++ b/modules/plankledge_runtime/PeerEdge.cpp
@@ -42,17 +42,17 @@
     return status;
 }
 
-void PeerEdge::carryOut (const SendToPeer& effect)
+void PeerEdge::execute (const SendToPeer& effect)
 {
     m_links.send (effect.m_instance, effect.m_endpoint, effect.m_message);
 }
 
-void PeerEdge::carryOut (const ReplyOnLink& effect)
+void PeerEdge::execute (const ReplyOnLink& effect)
 {
     m_links.reply (effect.m_link, effect.m_instance, effect.m_message);
 }
 
-void PeerEdge::carryOut (const SendGossip& effect)
+void PeerEdge::execute (const SendGossip& effect)
 {
     m_gossip.send (effect.m_endpoint, effect.m_gossipMessage);
 }
--- a/modules/plankledge_runtime/PeerEdge.h
+++ b/modules/plankledge_runtime/PeerEdge.h
@@ -20,9 +20,9 @@
     /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
-    void carryOut (const SendToPeer& effect);
-    void carryOut (const ReplyOnLink& effect);
-    void carryOut (const SendGossip& effect);
+    void execute (const SendToPeer& effect);
+    void execute (const ReplyOnLink& effect);
+    void execute (const SendGossip& effect);
 
     /** @returns bytes of control traffic since the start, for frames and datagrams */
     ControlTraffic traffic() const noexcept { return { m_links.controlBytes(), m_gossip.bytes(), 0 }; }
--- a/modules/plankledge_runtime/RelayCallerEdge.cpp
+++ b/modules/plankledge_runtime/RelayCallerEdge.cpp
@@ -42,7 +42,7 @@
     };
 }
 
-void RelayCallerEdge::carryOut (const AnswerRelay& effect)
+void RelayCallerEdge::execute (const AnswerRelay& effect)
 {
     const auto found = m_pendingRequests.find (effect.m_ticket);
 
--- a/modules/plankledge_runtime/RelayCallerEdge.h
+++ b/modules/plankledge_runtime/RelayCallerEdge.h
@@ -32,7 +32,7 @@
 
     void stopListening() { m_server.stopListening(); }
 
-    void carryOut (const AnswerRelay& effect);
+    void execute (const AnswerRelay& effect);
 
 private:
     //==============================================================================
--- a/modules/plankledge_runtime/RelayTargetEdge.cpp
+++ b/modules/plankledge_runtime/RelayTargetEdge.cpp
@@ -9,17 +9,17 @@
     , m_metrics (metrics)
     , m_hooks (std::move (hooks))
     , m_client (
-          context, [this] (CallId call, TargetClient::Answer result) { onDone (call, std::move (result)); },
+          context, [this] (CallId call, TargetClient::Result result) { onDone (call, std::move (result)); },
           m_hooks.m_isResponseTo)
 {
 }
 
-void RelayTargetEdge::carryOut (const RelayToTarget& effect)
+void RelayTargetEdge::execute (const RelayToTarget& effect)
 {
     m_client.send (effect.m_call, effect.m_endpoint, m_hooks.m_encode (effect));
 }
 
-void RelayTargetEdge::onDone (CallId call, TargetClient::Answer result)
+void RelayTargetEdge::onDone (CallId call, TargetClient::Result result)
 {
     TargetReply reply;
 
--- a/modules/plankledge_runtime/RelayTargetEdge.h
+++ b/modules/plankledge_runtime/RelayTargetEdge.h
@@ -25,13 +25,13 @@
 
     RelayTargetEdge (boost::asio::io_context& context, Node& node, NodeMetrics& metrics, Hooks hooks);
 
-    void carryOut (const RelayToTarget& effect);
-    void carryOut (const CancelTargetCall& effect) { m_client.abandon (effect.m_call); }
-    void carryOut (const DropTargetConnections&) { m_client.closeIdle(); }
+    void execute (const RelayToTarget& effect);
+    void execute (const CancelTargetCall& effect) { m_client.cancelRequest (effect.m_call); }
+    void execute (const DropTargetConnections&) { m_client.closeIdle(); }
 
 private:
     //==============================================================================
-    void onDone (CallId call, TargetClient::Answer result);
+    void onDone (CallId call, TargetClient::Result result);
 
     Node& m_node;
     NodeMetrics& m_metrics;
--- a/modules/plankledge_runtime/TargetClient.cpp
+++ b/modules/plankledge_runtime/TargetClient.cpp
@@ -126,8 +126,8 @@
         for (unsigned strayResponses = 0; strayResponses <= maxStrayResponses; ++strayResponses)
         {
             http::response_parser<http::string_body> parser;
-            parser.body_limit (maximumBodyBytes);
-            parser.header_limit (maximumHeaderBytes);
+            parser.body_limit (maxBodyBytes);
+            parser.header_limit (maxHeaderBytes);
             parser.skip (isHead);
             const auto [error, size] = co_await http::async_read (stream, buffer, parser, asTuple);
 
@@ -226,7 +226,7 @@
         m_idle.clear();
     }
 
-    void abandon (CallId call)
+    void cancelRequest (CallId call)
     {
         const auto found = m_active.find (call);
 
@@ -267,9 +267,9 @@
                     asio::detached);
 }
 
-void TargetClient::abandon (CallId call)
+void TargetClient::cancelRequest (CallId call)
 {
-    m_implementation->abandon (call);
+    m_implementation->cancelRequest (call);
 }
 
 void TargetClient::closeIdle()
--- a/modules/plankledge_runtime/TargetClient.h
+++ b/modules/plankledge_runtime/TargetClient.h
@@ -29,10 +29,10 @@
 {
 public:
     //==============================================================================
-    using Answer = std::variant<HttpResponse, TargetFailure>;
+    using Result = std::variant<HttpResponse, TargetFailure>;
 
     /** Called exactly once for each call that is not cancelled. */
-    using Done = std::function<void (CallId call, Answer result)>;
+    using Done = std::function<void (CallId call, Result result)>;
 
     /** @returns whether a response belongs to the request. Responses that do not match are skipped,
         such as a duplicate response to an earlier request. */
@@ -50,7 +50,7 @@
     void send (CallId call, const Endpoint& target, HttpRequest request);
 
     /** Closes the call's connection. Done is not called for it. */
-    void abandon (CallId call);
+    void cancelRequest (CallId call);
 
     /** Closes all idle connections. */
     void closeIdle();
--- a/modules/plankledge_runtime/TargetEdge.cpp
+++ b/modules/plankledge_runtime/TargetEdge.cpp
@@ -32,7 +32,7 @@
     , m_metrics (metrics)
     , m_endpoint (target)
     , m_client (context,
-                [this] (CallId call, TargetClient::Answer result) { onDone (call, std::move (result)); })
+                [this] (CallId call, TargetClient::Result result) { onDone (call, std::move (result)); })
     , m_probeClient (context)
     , m_timer (std::make_unique<Timer> (context))
 {
@@ -40,17 +40,17 @@
 
 TargetEdge::~TargetEdge() = default;
 
-void TargetEdge::carryOut (const DispatchToTarget& effect)
+void TargetEdge::execute (const DispatchToTarget& effect)
 {
     m_client.send (effect.m_call, m_endpoint, makeTargetRequest (effect));
 }
 
-void TargetEdge::carryOut (const CancelTargetCall& effect)
+void TargetEdge::execute (const CancelTargetCall& effect)
 {
-    m_client.abandon (effect.m_call);
+    m_client.cancelRequest (effect.m_call);
 }
 
-void TargetEdge::onDone (CallId call, TargetClient::Answer result)
+void TargetEdge::onDone (CallId call, TargetClient::Result result)
 {
     if (const auto* failure = std::get_if<TargetFailure> (&result))
     {
--- a/modules/plankledge_runtime/TargetEdge.h
+++ b/modules/plankledge_runtime/TargetEdge.h
@@ -22,8 +22,8 @@
     /** Starts probing the target. */
     void start() { probe(); }
 
-    void carryOut (const DispatchToTarget& effect);
-    void carryOut (const CancelTargetCall& effect);
+    void execute (const DispatchToTarget& effect);
+    void execute (const CancelTargetCall& effect);
 
     bool isServing() const noexcept { return m_state == TargetState::serving; }
 
@@ -34,7 +34,7 @@
     void probe();
     void updateState (TargetState state);
     void processResponse (const HttpResponse& response);
-    void onDone (CallId call, TargetClient::Answer result);
+    void onDone (CallId call, TargetClient::Result result);
 
     Node& m_node;
     NodeMetrics& m_metrics;
--- a/modules/plankledge_wire/FrameCodec.cpp
+++ b/modules/plankledge_wire/FrameCodec.cpp
@@ -134,7 +134,7 @@
 
     std::memcpy (&length, header.data(), sizeof (length));
 
-    if (length > maximumFrameBytes)
+    if (length > maxFrameBytes)
         return toStatus (WireError::tooLarge);
 
     return length;
@@ -164,7 +164,7 @@
 {
     auto bytes = encode (Datagram { protocolVersion, gossip });
 
-    while (bytes.size() > maximumDatagramBytes && ! gossip.m_memberUpdates.empty())
+    while (bytes.size() > maxDatagramBytes && ! gossip.m_memberUpdates.empty())
     {
         gossip.m_memberUpdates.pop_back();
         bytes = encode (Datagram { protocolVersion, gossip });
@@ -175,7 +175,7 @@
 
 absl::StatusOr<GossipMessage> decodeGossipMessage (std::string_view datagram)
 {
-    if (datagram.size() > maximumDatagramBytes)
+    if (datagram.size() > maxDatagramBytes)
         return toStatus (WireError::tooLarge);
 
     if (const auto version = decodeVersion (datagram); ! version.ok())
--- a/modules/plankledge_wire/FrameCodec.h
+++ b/modules/plankledge_wire/FrameCodec.h
@@ -13,10 +13,10 @@
 inline constexpr std::uint16_t protocolVersion = 3;
 
 /** Maximum size of a frame's payload, in bytes; a larger encoded length closes the connection. */
-inline constexpr std::uint32_t maximumFrameBytes = 4U << 20U;
+inline constexpr std::uint32_t maxFrameBytes = 4U << 20U;
 
 /** Maximum size of a datagram, in bytes; fits into one Ethernet frame. */
-inline constexpr std::size_t maximumDatagramBytes = 1400;
+inline constexpr std::size_t maxDatagramBytes = 1400;
 
 /** Size of the header in front of a frame, in bytes: the payload's length. */
 inline constexpr std::size_t frameHeaderBytes = 4;
@@ -51,7 +51,7 @@
 */
 absl::StatusOr<Frame> decodeFrame (std::string_view payload, const InstanceName& receiver);
 
-/** @returns the encoded datagram; updates that exceed maximumDatagramBytes are omitted */
+/** @returns the encoded datagram; updates that exceed maxDatagramBytes are omitted */
 std::string encodeGossipMessage (GossipMessage gossip);
 
 /** @returns the message, or a WireError as a status */
--- a/standins/standin-target.cpp
+++ b/standins/standin-target.cpp
@@ -74,7 +74,7 @@
         , m_outboundEndpoint (outbound)
         , m_outbound (
               context,
-              [this] (CallId call, const TargetClient::Answer& answer) { onCallCompleted (call, answer); })
+              [this] (CallId call, const TargetClient::Result& answer) { onCallCompleted (call, answer); })
         , m_random (std::hash<std::string>() (FLAGS_instance))
         , m_serviceMs (FLAGS_service_ms)
     {
@@ -271,7 +271,7 @@
         return at == std::string::npos ? std::string() : target.substr (at);
     }
 
-    void onCallCompleted (CallId call, const TargetClient::Answer& answer)
+    void onCallCompleted (CallId call, const TargetClient::Result& answer)
     {
         const auto found = m_jobsByCall.find (call);
 
@@ -314,7 +314,7 @@
         ++m_cancelled;
         end (job);
         job->m_timer.cancel();
-        m_outbound.abandon (job->m_call);
+        m_outbound.cancelRequest (job->m_call);
         m_jobsByCall.erase (job->m_call);
         startNext();
     }
--- a/tests/contracts/AtMostOnceFuzz_test.cpp
+++ b/tests/contracts/AtMostOnceFuzz_test.cpp
@@ -209,11 +209,11 @@
         }
 
         const auto other = anyInstance();
-        m_rig.cut (instance, other);
+        m_rig.addPartition (instance, other);
         printStep (other, "does not receive its messages");
 
         if (chance (50))
-            m_rig.cut (other, instance);
+            m_rig.addPartition (other, instance);
 
         const auto partitionDuration =
             pick<Duration> ({ Milliseconds (1000), Milliseconds (4000), Milliseconds (10000) });
@@ -311,7 +311,7 @@
     { "lost-memory", &Mechanisms::m_lostMemory, 50, 100 },
     { "fences-in-acknowledgement", &Mechanisms::m_fencesInAcknowledgement, 4100, 100 },
     { "transit-time", &Mechanisms::m_transitTime, 3035, 100 },
-    { "newcomers-must-be-asked", &Mechanisms::m_newMembersMustBeAsked, 865, 100 },
+    { "newcomers-must-be-asked", &Mechanisms::m_inquiriesToFormerCandidates, 865, 100 },
 };
 
 } // namespace
@@ -368,8 +368,8 @@
     rig.m_listAppearLag = warmUp; // n0 and n1 are listed, j1 is not during this test
     rig.m_isLogDown = true;
     rig.m_losesDatagram = [] { return true; };
-    rig.cut ("n0", "j1");
-    rig.cut ("j1", "n0");
+    rig.addPartition ("n0", "j1");
+    rig.addPartition ("j1", "n0");
     rig.add ("j1", "lodgement");
     rig.run (std::chrono::seconds (4));
     REQUIRE (rig.reducer ("j1").isEstablished());
--- a/tests/contracts/Declarations_test.cpp
+++ b/tests/contracts/Declarations_test.cpp
@@ -42,7 +42,7 @@
       { { "services.s.operations.o.longest_wait_ms", DeclarationError::outOfRange },
         { "services.s.operations.o.retry_budget", DeclarationError::outOfRange },
         { "services.s.operations.o.record_window_ms", DeclarationError::outOfRange } } },
-    { std::string (maximumDeclarationBytes + 1, ' '), { { "", DeclarationError::tooLarge } } },
+    { std::string (maxDeclarationBytes + 1, ' '), { { "", DeclarationError::tooLarge } } },
 };
 
 } // namespace
--- a/tests/contracts/Wire_test.cpp
+++ b/tests/contracts/Wire_test.cpp
@@ -136,7 +136,7 @@
         gossip.m_memberUpdates.push_back (gossip.m_sender);
 
     const auto bytes = encodeGossipMessage (gossip);
-    CHECK (bytes.size() <= maximumDatagramBytes);
+    CHECK (bytes.size() <= maxDatagramBytes);
     const auto decoded = decodeGossipMessage (bytes);
     REQUIRE (decoded.ok());
     CHECK (decoded->m_sender == gossip.m_sender);
--- a/tests/promises/WholeAnswers_test.cpp
+++ b/tests/promises/WholeAnswers_test.cpp
@@ -116,7 +116,7 @@
       true,
       { std::nullopt } },
     { "the body is larger than allowed",
-      { fmt::format ("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", maximumBodyBytes + 1) },
+      { fmt::format ("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", maxBodyBytes + 1) },
       true,
       { std::nullopt } },
     { "closed without a response", { "" }, true, { std::nullopt } },
@@ -132,9 +132,9 @@
         CAPTURE (row.m_name);
         asio::io_context context;
         ScriptedTarget target (context, row.m_responses, row.m_closesAfterResponse);
-        std::map<CallId, TargetClient::Answer> answers;
+        std::map<CallId, TargetClient::Result> answers;
         TargetClient client (
-            context, [&] (CallId call, TargetClient::Answer answer) { answers[call] = std::move (answer); });
+            context, [&] (CallId call, TargetClient::Result answer) { answers[call] = std::move (answer); });
 
         for (CallId call = 1; call <= row.m_expectedBodies.size(); ++call)
         {
@@ -157,12 +157,12 @@
 {
     asio::io_context context;
     ScriptedTarget target (context, { makeResponse ("late"), makeResponse ("own") }, false);
-    std::map<CallId, TargetClient::Answer> answers;
+    std::map<CallId, TargetClient::Result> answers;
     TargetClient client (
-        context, [&] (CallId call, TargetClient::Answer answer) { answers[call] = std::move (answer); });
+        context, [&] (CallId call, TargetClient::Result answer) { answers[call] = std::move (answer); });
     client.send (1, target.endpoint(), {});
     context.run_one_for (std::chrono::milliseconds (1));
-    client.abandon (1);
+    client.cancelRequest (1);
     client.send (2, target.endpoint(), {});
 
     while (! answers.contains (2))
--- a/tests/relay/access/KeyGuard_test.cpp
+++ b/tests/relay/access/KeyGuard_test.cpp
@@ -173,7 +173,7 @@
 
         for (const auto& other : fleet.names())
             if (std::find (partitioned.begin(), partitioned.end(), other) == partitioned.end())
-                fleet.cut (one, other);
+                fleet.addPartition (one, other);
     }
 
     fleet.write (tableWith (2, {}));
--- a/tests/relay/crashes/RepeatedCrashes_test.cpp
+++ b/tests/relay/crashes/RepeatedCrashes_test.cpp
@@ -112,7 +112,7 @@
     for (const auto& one : alone)
         for (const auto& other : site.nodes())
             if (std::find (alone.begin(), alone.end(), other) == alone.end())
-                site.cut (one, other);
+                site.addPartition (one, other);
 
     site.runUnderLoad (seconds (1), 200);
 
--- a/tests/relay/limits/OrganisationLimits_test.cpp
+++ b/tests/relay/limits/OrganisationLimits_test.cpp
@@ -156,7 +156,7 @@
     {
         for (std::size_t one = 0; one < first; ++one)
             for (std::size_t other = first; other < m_names.size(); ++other)
-                cut (m_names[one], m_names[other]);
+                addPartition (m_names[one], m_names[other]);
     }
 
     const InstanceName& homeOf (const OrganisationName& organisation) const
@@ -281,7 +281,7 @@
             fleet.freeze (home, seconds (3));
         else if (fault == Fault::isolated)
             for (const auto& name : fleet.m_names)
-                fleet.cut (home, name);
+                fleet.addPartition (home, name);
         else
             fleet.kill (home);
 
@@ -364,9 +364,9 @@
 
     for (const auto& name : fleet.m_names)
         if (name != alone && name != "node-0") // its targets
-            fleet.cut (alone, name);
+            fleet.addPartition (alone, name);
 
-    fleet.cut (alone, "node-0");
+    fleet.addPartition (alone, "node-0");
     fleet.run (Milliseconds (100));
     const Credential key { CredentialKind::key, "key-of-small" };
     const auto first = fleet.send (alone, "first", "/read/x", seconds (1), key);
--- a/tests/relay/peers/PeerReachability_test.cpp
+++ b/tests/relay/peers/PeerReachability_test.cpp
@@ -27,7 +27,7 @@
 TEST_CASE ("an unreachable peer receives no requests until it is reachable again")
 {
     RelaySite site;
-    site.cut ("entry", "one");
+    site.addPartition ("entry", "one");
     site.run (seconds (2));
 
     for (int index = 0; index < 20; ++index)
@@ -103,7 +103,7 @@
     site.send ("entry", "first", "/read/x");
     site.send ("entry", "second", "/read/x");
     site.run (Milliseconds (50));
-    site.cut ("entry", "one");
+    site.addPartition ("entry", "one");
     site.run (seconds (1));
     const auto before = site.runs().size();
 
--- a/tests/relay/store/StoreFollowers_test.cpp
+++ b/tests/relay/store/StoreFollowers_test.cpp
@@ -165,7 +165,7 @@
 TEST_CASE ("a record removed while its node is running is restored within two seconds")
 {
     StartedFleet fleet (100);
-    fleet.drop ("node-17");
+    fleet.withdrawRecord ("node-17");
     fleet.run (seconds (2));
     CHECK (fleet.hasRecordOf ("node-17"));
 }
@@ -176,7 +176,7 @@
 
     for (const auto& name : fleet.names())
         if (name != "node-8")
-            fleet.cut ("node-8", name);
+            fleet.addPartition ("node-8", name);
 
     fleet.run (seconds (4));
     const auto following = fleet.following();
--- a/tests/runtime/SuspendedMachine_test.cpp
+++ b/tests/runtime/SuspendedMachine_test.cpp
@@ -70,7 +70,7 @@
     StubTarget target;
     AdjustableClock clock;
     TargetClient client (
-        target.m_context, [&] (CallId, const TargetClient::Answer&) { ++target.m_completedRequests; }, {},
+        target.m_context, [&] (CallId, const TargetClient::Result&) { ++target.m_completedRequests; }, {},
         clock.source());
     target.sendOneRequest (client);
     target.sendOneRequest (client);
--- a/tests/soak/SoakNode.cpp
+++ b/tests/soak/SoakNode.cpp
@@ -45,7 +45,7 @@
     : m_runHistory (runHistory)
     , m_options (options)
     , m_clients (
-          context, [this] (CallId call, const TargetClient::Answer& answer) { onAnswer (call, answer); },
+          context, [this] (CallId call, const TargetClient::Result& answer) { onAnswer (call, answer); },
           isSameRequest)
 {
     m_peerProxy =
@@ -153,7 +153,7 @@
     m_clients.send (call, endpointAt (outboundPort), std::move (message));
 }
 
-void SoakNode::onAnswer (CallId call, const TargetClient::Answer& answer)
+void SoakNode::onAnswer (CallId call, const TargetClient::Result& answer)
 {
     const auto node = m_pendingCalls.extract (call);
 
@@ -177,7 +177,7 @@
             continue;
         }
 
-        m_clients.abandon (entry->first);
+        m_clients.cancelRequest (entry->first);
         entry = m_pendingCalls.erase (entry);
     }
 }
--- a/tests/soak/SoakNode.h
+++ b/tests/soak/SoakNode.h
@@ -83,7 +83,7 @@
     };
 
     Endpoint endpointAt (std::uint16_t port) const { return { m_options.m_ip, port }; }
-    void onAnswer (CallId call, const TargetClient::Answer& answer);
+    void onAnswer (CallId call, const TargetClient::Result& answer);
 
     RunHistory& m_runHistory;
     Options m_options;
--- a/tests/soak/SoakTarget.cpp
+++ b/tests/soak/SoakTarget.cpp
@@ -76,7 +76,7 @@
                            [] (HttpServerError) { return HttpResponse(); } })
     , m_announcer (context)
     , m_outbound (context, [this] (CallId call,
-                                   const TargetClient::Answer& answer) { onCallCompleted (call, answer); })
+                                   const TargetClient::Result& answer) { onCallCompleted (call, answer); })
     , m_announceTimer (context)
     , m_incarnationTimer (context)
 {
@@ -129,7 +129,7 @@
 
         disconnectedJob->m_isFinished = true;
         disconnectedJob->m_timer.cancel();
-        m_outbound.abandon (disconnectedJob->m_call);
+        m_outbound.cancelRequest (disconnectedJob->m_call);
         m_jobsByCall.erase (disconnectedJob->m_call);
         --m_running;
     };
@@ -165,7 +165,7 @@
     m_outbound.send (job->m_call, m_options.m_outbound, std::move (call));
 }
 
-void SoakTarget::onCallCompleted (CallId call, const TargetClient::Answer& answer)
+void SoakTarget::onCallCompleted (CallId call, const TargetClient::Result& answer)
 {
     const auto node = m_jobsByCall.extract (call);
 
--- a/tests/soak/SoakTarget.h
+++ b/tests/soak/SoakTarget.h
@@ -70,7 +70,7 @@
     std::function<void()> onRequest (const HttpRequest& request, const HttpServer::Respond& respond);
     void startWork (const std::shared_ptr<Job>& job);
     void sendNextCall (const std::shared_ptr<Job>& job);
-    void onCallCompleted (CallId call, const TargetClient::Answer& answer);
+    void onCallCompleted (CallId call, const TargetClient::Result& answer);
     void finish (const std::shared_ptr<Job>& job, int status);
     void startIncarnation();
     void announce();
--- a/tests/support/RelayRig.cpp
+++ b/tests/support/RelayRig.cpp
@@ -86,7 +86,7 @@
     host.m_isAlive = true;
     host.m_hasExited = false;
     host.m_frozenUntil = Time();
-    carryOut (instance, host.m_reducer->start (m_now));
+    execute (instance, host.m_reducer->start (m_now));
 }
 
 void RelayRig::kill (const InstanceName& instance)
@@ -108,7 +108,7 @@
     m_hosts.at (instance).m_frozenUntil = m_now + duration;
 }
 
-void RelayRig::cut (const InstanceName& one, const InstanceName& other)
+void RelayRig::addPartition (const InstanceName& one, const InstanceName& other)
 {
     m_partitions.insert (std::minmax (one, other));
 }
@@ -257,17 +257,17 @@
 
 void RelayRig::apply (const InstanceName& instance, EventBody event)
 {
-    carryOut (instance, m_hosts.at (instance).m_reducer->apply ({ m_now, std::move (event) }));
+    execute (instance, m_hosts.at (instance).m_reducer->apply ({ m_now, std::move (event) }));
 }
 
 //==============================================================================
-void RelayRig::carryOut (const InstanceName& instance, const Effects& effects)
+void RelayRig::execute (const InstanceName& instance, const Effects& effects)
 {
     for (const auto& effect : effects)
-        std::visit ([&] (const auto& value) { carryOut (instance, value); }, effect);
+        std::visit ([&] (const auto& value) { execute (instance, value); }, effect);
 }
 
-void RelayRig::carryOut (const InstanceName& from, const SendToPeer& effect)
+void RelayRig::execute (const InstanceName& from, const SendToPeer& effect)
 {
     const auto& to = effect.m_instance;
     const auto found = m_hosts.find (to);
@@ -293,7 +293,7 @@
              latency, found->second.m_processIncarnation);
 }
 
-void RelayRig::carryOut (const InstanceName& from, const ReplyOnLink& effect)
+void RelayRig::execute (const InstanceName& from, const ReplyOnLink& effect)
 {
     const auto& to = m_links.at (effect.m_link);
 
@@ -302,25 +302,25 @@
                  latency, m_hosts.at (to).m_processIncarnation);
 }
 
-void RelayRig::carryOut (const InstanceName&, const AnswerRelay& effect)
+void RelayRig::execute (const InstanceName&, const AnswerRelay& effect)
 {
     m_answers[effect.m_ticket] = { effect.m_result, m_now };
 }
 
-void RelayRig::carryOut (const InstanceName& from, const RelayToTarget& effect)
+void RelayRig::execute (const InstanceName& from, const RelayToTarget& effect)
 {
     m_runs.push_back ({ from, effect, m_now });
     m_hosts.at (from).m_target (*this, from, effect);
 }
 
-void RelayRig::carryOut (const InstanceName& from, const CancelTargetCall& effect)
+void RelayRig::execute (const InstanceName& from, const CancelTargetCall& effect)
 {
     for (auto& run : m_runs)
         if (run.m_instance == from && run.m_dispatch.m_call == effect.m_call)
             run.m_isCancelled = true;
 }
 
-void RelayRig::carryOut (const InstanceName& from, const Exit&)
+void RelayRig::execute (const InstanceName& from, const Exit&)
 {
     m_hosts.at (from).m_hasExited = true;
     kill (from);
--- a/tests/support/RelayRig.h
+++ b/tests/support/RelayRig.h
@@ -55,7 +55,7 @@
     void kill (const InstanceName& instance);
     void freeze (const InstanceName& instance, Duration duration);
     /** Partitions two nodes from each other. */
-    void cut (const InstanceName& one, const InstanceName& other);
+    void addPartition (const InstanceName& one, const InstanceName& other);
     void healAll() { m_partitions.clear(); }
 
     /** Announces the node's target. Only the serving state is announced again periodically. */
@@ -175,21 +175,21 @@
 
     void deliver (const InstanceName& instance, EventBody event, Duration after, unsigned incarnation = 0);
     void apply (const InstanceName& instance, EventBody event);
-    void carryOut (const InstanceName& instance, const Effects& effects);
-    void carryOut (const InstanceName& from, const SendToPeer& effect);
-    void carryOut (const InstanceName& from, const ReplyOnLink& effect);
-    void carryOut (const InstanceName& from, const AnswerRelay& effect);
-    void carryOut (const InstanceName& from, const RelayToTarget& effect);
-    void carryOut (const InstanceName& from, const CancelTargetCall& effect);
-    void carryOut (const InstanceName& from, const Exit& effect);
-    void carryOut (const InstanceName& from, const DropTargetConnections&)
+    void execute (const InstanceName& instance, const Effects& effects);
+    void execute (const InstanceName& from, const SendToPeer& effect);
+    void execute (const InstanceName& from, const ReplyOnLink& effect);
+    void execute (const InstanceName& from, const AnswerRelay& effect);
+    void execute (const InstanceName& from, const RelayToTarget& effect);
+    void execute (const InstanceName& from, const CancelTargetCall& effect);
+    void execute (const InstanceName& from, const Exit& effect);
+    void execute (const InstanceName& from, const DropTargetConnections&)
     {
         ++m_hosts.at (from).m_connectionsDropped;
     }
-    void carryOut (const InstanceName& from, const ReadTopic& effect) { forwardToStore (from, effect); }
-    void carryOut (const InstanceName& from, const PublishMember& effect) { forwardToStore (from, effect); }
-    void carryOut (const InstanceName& from, const WithdrawMember& effect) { forwardToStore (from, effect); }
-    template <class Other> void carryOut (const InstanceName&, const Other&) {}
+    void execute (const InstanceName& from, const ReadTopic& effect) { forwardToStore (from, effect); }
+    void execute (const InstanceName& from, const PublishMember& effect) { forwardToStore (from, effect); }
+    void execute (const InstanceName& from, const WithdrawMember& effect) { forwardToStore (from, effect); }
+    template <class Other> void execute (const InstanceName&, const Other&) {}
     void forwardToStore (const InstanceName& from, const Effect& effect)
     {
         if (m_storeHook)
--- a/tests/support/Rig.cpp
+++ b/tests/support/Rig.cpp
@@ -58,7 +58,7 @@
 
 void Rig::apply (Host& host, const EventBody& body)
 {
-    carryOut (host, host.m_reducer->apply ({ m_now, body }));
+    execute (host, host.m_reducer->apply ({ m_now, body }));
 
     if (host.m_isAlive)
         scheduleTick (host);
@@ -112,7 +112,7 @@
     host.m_startedAt = m_now;
     host.m_frozenUntil = Time();
     host.m_tickAt.reset();
-    carryOut (host, host.m_reducer->start (m_now));
+    execute (host, host.m_reducer->start (m_now));
     scheduleTick (host);
 }
 
@@ -186,18 +186,18 @@
 }
 
 //==============================================================================
-void Rig::carryOut (Host& host, const Effects& effects)
+void Rig::execute (Host& host, const Effects& effects)
 {
     for (const auto& effect : effects)
     {
         if (m_onEffect)
             m_onEffect (host.m_settings.m_self.m_id.m_instance, effect);
 
-        std::visit ([&] (const auto& value) { carryOut (host, value); }, effect);
+        std::visit ([&] (const auto& value) { execute (host, value); }, effect);
     }
 }
 
-void Rig::carryOut (Host& host, const AnswerRequest& effect)
+void Rig::execute (Host& host, const AnswerRequest& effect)
 {
     assert (! m_answers.contains (effect.m_ticket) && "a request is answered once");
     m_answers[effect.m_ticket] = { effect.m_result, m_now };
@@ -217,7 +217,7 @@
     return link;
 }
 
-void Rig::carryOut (Host& host, const SendToPeer& effect)
+void Rig::execute (Host& host, const SendToPeer& effect)
 {
     const auto& self = host.m_settings.m_self.m_id;
     const auto found = m_hosts.find (effect.m_instance);
@@ -246,7 +246,7 @@
     });
 }
 
-void Rig::carryOut (Host& host, const ReplyOnLink& effect)
+void Rig::execute (Host& host, const ReplyOnLink& effect)
 {
     const auto found = m_links.find (effect.m_link);
     const auto& self = host.m_settings.m_self.m_id;
@@ -260,7 +260,7 @@
     });
 }
 
-void Rig::carryOut (Host& host, const SendGossip& effect)
+void Rig::execute (Host& host, const SendGossip& effect)
 {
     const auto& self = host.m_settings.m_self.m_id;
     const auto gossip = decodeGossipMessage (encodeGossipMessage (effect.m_gossipMessage));
@@ -275,7 +275,7 @@
             post (instance, m_delay(), GossipReceived { *gossip });
 }
 
-void Rig::carryOut (Host& host, const DispatchToTarget& effect)
+void Rig::execute (Host& host, const DispatchToTarget& effect)
 {
     const auto& instance = host.m_settings.m_self.m_id.m_instance;
     m_runs.push_back ({ effect.m_idempotency.m_key, effect.m_idempotency.m_attempt, instance, m_now });
@@ -294,7 +294,7 @@
 }
 
 //==============================================================================
-void Rig::carryOut (Host& host, const FetchList&)
+void Rig::execute (Host& host, const FetchList&)
 {
     if (m_isListDown)
         return;
@@ -315,7 +315,7 @@
     post (host.m_settings.m_self.m_id.m_instance, m_delay(), ListReceived { std::move (list) });
 }
 
-void Rig::carryOut (Host& host, const ReadLog& effect)
+void Rig::execute (Host& host, const ReadLog& effect)
 {
     if (m_isLogDown)
         return;
@@ -345,13 +345,13 @@
     post (instance, m_delay(), std::move (read));
 }
 
-void Rig::carryOut (Host&, const AppendJoin& effect)
+void Rig::execute (Host&, const AppendJoin& effect)
 {
     if (! m_isLogDown)
         m_joinLog.push_back ({ static_cast<LogOffset> (m_joinLog.size()), effect.m_member });
 }
 
-void Rig::carryOut (Host&, const AppendCheckpoint& effect)
+void Rig::execute (Host&, const AppendCheckpoint& effect)
 {
     if (m_isLogDown)
         return;
@@ -362,7 +362,7 @@
                                      state.m_asOfOffset, state.m_text }));
 }
 
-void Rig::carryOut (Host& host, const Exit&)
+void Rig::execute (Host& host, const Exit&)
 {
     end (host.m_settings.m_self.m_id.m_instance);
 }
--- a/tests/support/Rig.h
+++ b/tests/support/Rig.h
@@ -55,7 +55,10 @@
     void stop (const InstanceName& instance) { post (instance, Duration::zero(), StopRequested {}); }
 
     /** Drops the messages in one direction between two nodes. */
-    void cut (const InstanceName& from, const InstanceName& to) { m_partitions.insert ({ from, to }); }
+    void addPartition (const InstanceName& from, const InstanceName& to)
+    {
+        m_partitions.insert ({ from, to });
+    }
     void healAll() { m_partitions.clear(); }
 
     /** Sends a request to a node.
@@ -147,28 +150,28 @@
     void start (const InstanceName& instance);
     void end (const InstanceName& instance);
     void scheduleTick (Host& host);
-    void carryOut (Host& host, const Effects& effects);
+    void execute (Host& host, const Effects& effects);
     LinkId linkBetween (const NodeId& from, const NodeId& to);
     bool isPartitioned (const InstanceName& from, const InstanceName& to) const
     {
         return m_partitions.contains ({ from, to });
     }
 
-    void carryOut (Host& host, const AnswerRequest& effect);
-    void carryOut (Host& host, const SendToPeer& effect);
-    void carryOut (Host& host, const ReplyOnLink& effect);
-    void carryOut (Host& host, const SendGossip& effect);
-    void carryOut (Host& host, const DispatchToTarget& effect);
-    void carryOut (Host&, const CancelTargetCall&) {}
-    void carryOut (Host& host, const FetchList& effect);
-    void carryOut (Host& host, const ReadLog& effect);
-    void carryOut (Host& host, const AppendJoin& effect);
-    void carryOut (Host& host, const AppendCheckpoint& effect);
-    void carryOut (Host&, const WriteLog&) {}
-    void carryOut (Host& host, const Exit& effect);
+    void execute (Host& host, const AnswerRequest& effect);
+    void execute (Host& host, const SendToPeer& effect);
+    void execute (Host& host, const ReplyOnLink& effect);
+    void execute (Host& host, const SendGossip& effect);
+    void execute (Host& host, const DispatchToTarget& effect);
+    void execute (Host&, const CancelTargetCall&) {}
+    void execute (Host& host, const FetchList& effect);
+    void execute (Host& host, const ReadLog& effect);
+    void execute (Host& host, const AppendJoin& effect);
+    void execute (Host& host, const AppendCheckpoint& effect);
+    void execute (Host&, const WriteLog&) {}
+    void execute (Host& host, const Exit& effect);
 
     /** Effects of relayed requests, which this rig does not support. */
-    template <class Other> void carryOut (Host&, const Other&)
+    template <class Other> void execute (Host&, const Other&)
     {
         throw std::logic_error ("Rig does not support effects of relayed requests");
     }
--- a/tests/support/StoreFleet.cpp
+++ b/tests/support/StoreFleet.cpp
@@ -77,7 +77,7 @@
     m_routes.resize (m_routes.size() - std::min (versionsLost, m_routes.size()));
 }
 
-void StoreFleet::drop (const InstanceName& instance)
+void StoreFleet::withdrawRecord (const InstanceName& instance)
 {
     m_records.emplace_back (instance, std::nullopt);
 }
--- a/tests/support/StoreFleet.h
+++ b/tests/support/StoreFleet.h
@@ -34,7 +34,7 @@
     void restart (const InstanceName& instance);
 
     /** Withdraws a node's record without notifying the node. */
-    void drop (const InstanceName& instance);
+    void withdrawRecord (const InstanceName& instance);
 
     /** Restores the store from a backup that lacks the newest member records and versions of the routes.
         Offsets are reused in a new era. */
