--- a/modules/plankledge_core/ContentDigest.cpp
+++ b/modules/plankledge_core/ContentDigest.cpp
@@ -5,13 +5,13 @@
 namespace plankledge
 {
 
-ContentDigest digestOf (const OrganisationName& organisation, std::string_view host,
-                        const RelayContent& content) noexcept
+ContentDigest computeContentDigest (const OrganisationName& organisation, std::string_view host,
+                                    const RelayContent& content) noexcept
 {
     auto digest = hashText (organisation);
 
-    // Each part is hashed on its own, with the one before as its seed: no part can pass for the end of
-    // another.
+    // Chaining the hashes, instead of hashing the concatenation, keeps the boundaries between parts
+    // significant.
     for (const std::string_view part :
          { host, std::string_view (content.m_method), std::string_view (content.m_path),
            std::string_view (content.m_body) })
--- a/modules/plankledge_operator/Publisher.cpp
+++ b/modules/plankledge_operator/Publisher.cpp
@@ -16,17 +16,17 @@
 std::string_view nameOf (PublishError error) noexcept
 {
     constexpr std::array<std::string_view, 3> names {
-        "the log can't be reached; whether the version was accepted is not known",
-        "the log no longer keeps the version in force; give a node's address",
-        "no verdict in time; whether the version was accepted is not known",
+        "the log is unreachable; whether the version was accepted is unknown",
+        "the log no longer contains the version in force; specify a node's address",
+        "timed out waiting for the verdict; whether the version was accepted is unknown",
     };
     return names.at (static_cast<std::size_t> (error));
 }
 
 absl::Status toStatus (PublishError error)
 {
-    const auto code = error == PublishError::cannotJudge ? absl::StatusCode::kFailedPrecondition
-                                                         : absl::StatusCode::kUnavailable;
+    const auto code = error == PublishError::versionNotRetained ? absl::StatusCode::kFailedPrecondition
+                                                                : absl::StatusCode::kUnavailable;
     auto status = absl::Status (code, std::string (nameOf (error)));
     status.SetPayload ("plankledge/publish-error", absl::Cord (std::string (1, static_cast<char> (error))));
     return status;
@@ -35,7 +35,7 @@
 //==============================================================================
 Publisher::Publisher (DeclarationsParser parser, Hooks hooks)
     : m_hooks (std::move (hooks))
-    , m_judge (std::move (parser))
+    , m_stateMachine (std::move (parser))
 {
 }
 
@@ -43,7 +43,7 @@
 {
     for (;;)
     {
-        const auto from = m_judge.nextOffset();
+        const auto from = m_stateMachine.nextOffset();
         const auto page = m_hooks.m_read (from);
 
         if (! page.ok())
@@ -55,8 +55,8 @@
             if (auto decoded = decodeConfigurationRecord (record); decoded.ok())
                 read.m_records.push_back (*std::move (decoded));
 
-        for (auto& judged : m_judge.apply (read))
-            m_verdicts.push_back (std::move (judged));
+        for (auto& decided : m_stateMachine.apply (read))
+            m_verdicts.push_back (std::move (decided));
 
         if (page->m_next <= from)
             return absl::OkStatus();
@@ -68,14 +68,14 @@
     if (const auto status = readToEnd(); ! status.ok())
         return status;
 
-    if (! m_judge.canJudge())
-        return toStatus (PublishError::cannotJudge);
+    if (! m_stateMachine.canDecide())
+        return toStatus (PublishError::versionNotRetained);
 
-    return m_judge.state();
+    return m_stateMachine.state();
 }
 
-absl::StatusOr<JudgedProposal> Publisher::publish (const std::string& id, const std::string& text,
-                                                   std::optional<ConfigurationVersion> base)
+absl::StatusOr<DecidedProposal> Publisher::publish (const std::string& id, const std::string& text,
+                                                    std::optional<ConfigurationVersion> base)
 {
     const auto before = current();
 
@@ -90,14 +90,14 @@
 
     for (int round = 0;; ++round)
     {
-        // An append whose answer was lost may have taken effect: only reading back tells.
-        const bool isDue = round % readsPerAppend == 0;
+        // An append whose response was lost may have taken effect, so the log is read before a retry.
+        const bool isAppendDue = round % readsPerAppend == 0;
 
-        if (isDue)
+        if (isAppendDue)
             (void)m_hooks.m_append (data);
 
         if (readToEnd().ok())
-            if (auto verdict = verdictOn (id))
+            if (auto verdict = findVerdict (id))
                 return *std::move (verdict);
 
         if (! m_hooks.m_pause())
@@ -105,11 +105,11 @@
     }
 }
 
-std::optional<JudgedProposal> Publisher::verdictOn (const std::string& id) const
+std::optional<DecidedProposal> Publisher::findVerdict (const std::string& id) const
 {
-    for (const auto& judged : m_verdicts)
-        if (judged.m_id == id)
-            return judged;
+    for (const auto& decided : m_verdicts)
+        if (decided.m_id == id)
+            return decided;
 
     return std::nullopt;
 }
--- a/modules/plankledge_policy/KeyedRequests.cpp
+++ b/modules/plankledge_policy/KeyedRequests.cpp
@@ -42,7 +42,7 @@
             [this] (Turn& turn, CallId call) {
                 m_inbound.cancel (turn, { 0, m_settings.m_self.m_id.m_instance, call });
             } })
-    , m_rumours (m_membership)
+    , m_gossip (m_membership)
     , m_configuration (std::move (parser), [this] (Turn&) { onConfigurationInForce(); })
     , m_join (m_membership, m_inbound.records(), [this] (Turn&) { onEstablished(); })
     , m_drain (m_membership, m_inbound.records(),
@@ -58,7 +58,7 @@
     m_join.start (m_turn);
     m_configuration.start (m_turn);
     m_timers.set (now + m_turn.jittered (m_settings.m_heartbeatPeriod / 2), TimerKind::heartbeat);
-    m_timers.set (now + m_turn.jittered (m_settings.m_rumourPeriod / 2), TimerKind::rumour);
+    m_timers.set (now + m_turn.jittered (m_settings.m_gossipPeriod / 2), TimerKind::gossip);
     m_timers.set (now + m_turn.jittered (m_settings.m_listPeriod / 2), TimerKind::listPoll);
     m_timers.set (now + ShedThreshold::window, TimerKind::shedWindow);
     m_timers.set (now + housekeepingPeriod, TimerKind::housekeeping);
@@ -66,7 +66,7 @@
 
 void KeyedRequests::onPause()
 {
-    m_inbound.gate().refuseBufferedUntil (m_turn.now() + staleInputPeriod);
+    m_inbound.gate().refuseStaleInputUntil (m_turn.now() + staleInputPeriod);
 }
 
 //==============================================================================
@@ -78,28 +78,28 @@
         return m_outgoing.onDeadline (m_turn, timer.m_subject);
     case TimerKind::inboundDeadline:
         return m_inbound.onDeadline (m_turn, timer.m_subject);
-    case TimerKind::inboundAbandon:
-        return m_inbound.onAbandonTime (m_turn, timer.m_subject);
+    case TimerKind::inboundRunTimeout:
+        return m_inbound.onRunTimeout (m_turn, timer.m_subject);
     case TimerKind::inquiryTimeout:
         return m_inbound.inquiries().onTimeout (m_turn, timer.m_subject);
     case TimerKind::heartbeat:
         return onHeartbeatTimer();
-    case TimerKind::rumour:
-        m_rumours.spread (m_turn, m_configuration.version(), Rumours::usualReceivers);
-        return m_timers.set (m_turn.now() + m_settings.m_rumourPeriod, TimerKind::rumour);
+    case TimerKind::gossip:
+        m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::regularFanout);
+        return m_timers.set (m_turn.now() + m_settings.m_gossipPeriod, TimerKind::gossip);
     case TimerKind::listPoll:
         return onListPollTimer();
     case TimerKind::logPoll:
-        return m_configuration.onPollTime (m_turn, m_membership.size());
+        return m_configuration.onPollTimer (m_turn, m_membership.size());
     case TimerKind::join:
-        return m_join.onTime (m_turn);
+        return m_join.onTimer (m_turn);
     case TimerKind::shedWindow:
         m_inbound.onWindowEnd (m_turn);
         return m_timers.set (m_turn.now() + ShedThreshold::window, TimerKind::shedWindow);
     case TimerKind::drain:
-        return m_drain.onTime (m_turn);
+        return m_drain.onTimer (m_turn);
     case TimerKind::checkpoint:
-        return m_configuration.onCheckpointTime (m_turn);
+        return m_configuration.onCheckpointTimer (m_turn);
     case TimerKind::housekeeping:
         m_inbound.records().removeExpired (m_turn.now());
         m_membership.removeExpired (m_turn.now());
@@ -136,8 +136,8 @@
 
 void KeyedRequests::announceState()
 {
-    m_rumours.addNews (m_membership.self());
-    m_rumours.spread (m_turn, m_configuration.version(), Rumours::urgentReceivers);
+    m_gossip.addUpdate (m_membership.self());
+    m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::urgentFanout);
     sendHeartbeats();
 }
 
@@ -154,16 +154,16 @@
 void KeyedRequests::onConfigurationInForce()
 {
     m_inbound.onConfiguration();
-    m_rumours.spread (m_turn, m_configuration.version(), Rumours::urgentReceivers);
+    m_gossip.spread (m_turn, m_configuration.version(), GossipProtocol::urgentFanout);
 }
 
 //==============================================================================
 void KeyedRequests::handle (const RequestReceived& event)
 {
-    if (m_drain.refusesNew() && ! event.m_isOutbound)
+    if (m_drain.refusesNewCalls() && ! event.m_isOutbound)
         return OutgoingCalls::refuse (m_turn, event, Reason::draining);
 
-    if (m_inbound.gate().isLate (m_turn.now()))
+    if (m_inbound.gate().isInputStale (m_turn.now()))
         return OutgoingCalls::refuse (m_turn, event, Reason::deadlineExceeded);
 
     m_outgoing.receive (m_turn, event);
@@ -173,21 +173,21 @@
 {
     m_join.onPeerUnreachable (event.m_instance);
     m_drain.onPeerUnreachable (event.m_instance);
-    m_inbound.inquiries().onPeerGone (m_turn, event.m_instance);
+    m_inbound.inquiries().onPeerUnavailable (m_turn, event.m_instance);
     m_outgoing.onPeerUnreachable (m_turn, event.m_instance, event.m_calls);
 }
 
 void KeyedRequests::handle (const PeerLost& event)
 {
-    m_inbound.inquiries().onPeerGone (m_turn, event.m_instance);
+    m_inbound.inquiries().onPeerUnavailable (m_turn, event.m_instance);
     m_outgoing.onPeerLost (m_turn, event.m_instance);
 }
 
-void KeyedRequests::handle (const RumourReceived& event)
+void KeyedRequests::handle (const GossipReceived& event)
 {
-    const auto& rumour = event.m_rumour;
-    m_rumours.onRumour (m_turn, rumour);
-    m_configuration.onPeerVersion (m_turn, rumour.m_sender, rumour.m_version);
+    const auto& gossip = event.m_gossipMessage;
+    m_gossip.onGossip (m_turn, gossip);
+    m_configuration.onPeerVersion (m_turn, gossip.m_sender, gossip.m_version);
 }
 
 void KeyedRequests::handle (const TargetObserved& event)
@@ -196,7 +196,7 @@
     updateOwnState();
 }
 
-/** The instance is leaving as soon as either its target or the platform's list says so. */
+/** The instance is leaving as soon as its target or the platform's list reports it. */
 void KeyedRequests::updateOwnState()
 {
     const bool isListedLeaving = m_membership.isListedLeaving (m_settings.m_self.m_id.m_instance);
@@ -221,10 +221,10 @@
 
 void KeyedRequests::handle (const ListReceived& event)
 {
-    for (const auto& gone : m_membership.onList (event.m_instances, m_settings, m_turn.now()))
+    for (const auto& removed : m_membership.onList (event.m_instances, m_settings, m_turn.now()))
     {
-        m_router.forget (gone.m_instance);
-        m_turn.emit (WriteLog { Notice::memberLost, gone.m_instance, 0 });
+        m_router.forget (removed.m_instance);
+        m_turn.emit (WriteLog { Notice::memberLost, removed.m_instance, 0 });
     }
 
     m_join.onListRead (m_turn);
@@ -263,7 +263,7 @@
     m_turn.emit (ReplyOnLink { link, from.m_instance, m_join.onRequest (m_turn, message) });
 
     if (isNew)
-        m_rumours.addNews (message.m_member);
+        m_gossip.addUpdate (message.m_member);
 }
 
 void KeyedRequests::onMessage (LinkId, const NodeId& from, const JoinAcknowledgement& message)
@@ -273,8 +273,8 @@
 
 void KeyedRequests::onMessage (LinkId, const NodeId& from, const Heartbeat& message)
 {
-    if (m_membership.learn (message.m_member, m_turn.now()))
-        m_rumours.addNews (message.m_member);
+    if (m_membership.merge (message.m_member, m_turn.now()))
+        m_gossip.addUpdate (message.m_member);
 
     m_membership.onDigest (from.m_instance, message.m_membersDigest, m_turn.now());
     m_configuration.onPeerVersion (m_turn, message.m_member, message.m_version);
@@ -293,7 +293,7 @@
 void KeyedRequests::onMessage (LinkId link, const NodeId& from, const LeaveNotice& message)
 {
     for (const auto& member : message.m_members)
-        m_membership.learn (member, m_turn.now());
+        m_membership.merge (member, m_turn.now());
 
     m_membership.onLeft (message.m_id, m_turn.now());
     m_router.forget (message.m_id.m_instance);
--- a/modules/plankledge_policy/admission/ThresholdCache.cpp
+++ b/modules/plankledge_policy/admission/ThresholdCache.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration relaxationInterval = Milliseconds (100);
 constexpr Rank relaxationStep = 16;
-constexpr Duration holdTime = Milliseconds (200);
+constexpr Duration relaxationDelay = Milliseconds (200);
 constexpr Duration maxAge = std::chrono::seconds (10);
 constexpr std::size_t maxOperations = 1000;
 constexpr std::size_t maxDownstream = 32;
@@ -22,21 +22,21 @@
 {
     const auto age = now - m_at;
 
-    if (age <= holdTime)
+    if (age <= relaxationDelay)
         return m_threshold;
 
-    const auto steps = (age - holdTime) / relaxationInterval;
+    const auto steps = (age - relaxationDelay) / relaxationInterval;
     return static_cast<Rank> (std::min<long long> (admitAll, m_threshold + steps * relaxationStep));
 }
 
-void ThresholdCache::onInstance (const ServiceName& service, const InstanceName& instance, Rank threshold,
-                                 Time now)
+void ThresholdCache::onInstanceThreshold (const ServiceName& service, const InstanceName& instance,
+                                          Rank threshold, Time now)
 {
     m_instances[service][instance] = CachedThreshold { threshold, now };
 }
 
-void ThresholdCache::onDownstream (const ServiceName& service, const OperationName& operation,
-                                   const std::vector<ServiceThreshold>& downstream, Time now)
+void ThresholdCache::onDownstreamThresholds (const ServiceName& service, const OperationName& operation,
+                                             const std::vector<ServiceThreshold>& downstream, Time now)
 {
     if (downstream.empty())
         return;
--- a/modules/plankledge_policy/calls/InboundCallTable.cpp
+++ b/modules/plankledge_policy/calls/InboundCallTable.cpp
@@ -14,7 +14,7 @@
     call.m_requestId = fmt::format ("{:016x}-{:x}-{:x}", call.m_request.m_rootId, incarnation, id);
     m_byRequestId[call.m_requestId] = id;
 
-    for (const auto& origin : call.m_waiters)
+    for (const auto& origin : call.m_origins)
         m_byOrigin[origin] = id;
 
     m_calls.emplace (id, std::move (call));
@@ -27,19 +27,19 @@
     return found == m_calls.end() ? nullptr : &found->second;
 }
 
-std::optional<CallId> InboundCallTable::waitedForBy (const Origin& origin) const noexcept
+std::optional<CallId> InboundCallTable::findByOrigin (const Origin& origin) const noexcept
 {
     const auto found = m_byOrigin.find (origin);
     return found == m_byOrigin.end() ? std::nullopt : std::optional (found->second);
 }
 
-std::optional<CallId> InboundCallTable::withRequestId (const std::string& requestId) const noexcept
+std::optional<CallId> InboundCallTable::findByRequestId (const std::string& requestId) const noexcept
 {
     const auto found = m_byRequestId.find (requestId);
     return found == m_byRequestId.end() ? std::nullopt : std::optional (found->second);
 }
 
-std::vector<Origin> InboundCallTable::originsOf (LinkId link) const
+std::vector<Origin> InboundCallTable::originsOnLink (LinkId link) const
 {
     std::vector<Origin> origins;
 
@@ -50,7 +50,7 @@
     return origins;
 }
 
-std::vector<CallId> InboundCallTable::inquiringFor (const std::set<std::uint64_t>& keyHashes) const
+std::vector<CallId> InboundCallTable::inquiringCalls (const std::set<std::uint64_t>& keyHashes) const
 {
     std::vector<CallId> result;
 
@@ -64,24 +64,24 @@
 //==============================================================================
 void InboundCallTable::attach (CallId id, const Origin& origin)
 {
-    m_calls.at (id).m_waiters.push_back (origin);
+    m_calls.at (id).m_origins.push_back (origin);
     m_byOrigin[origin] = id;
 }
 
 void InboundCallTable::detach (CallId id, const Origin& origin)
 {
     m_byOrigin.erase (origin);
-    std::erase (m_calls.at (id).m_waiters, origin);
+    std::erase (m_calls.at (id).m_origins, origin);
 }
 
 std::vector<Origin> InboundCallTable::detachAll (CallId id)
 {
-    auto waiters = std::exchange (m_calls.at (id).m_waiters, {});
+    auto origins = std::exchange (m_calls.at (id).m_origins, {});
 
-    for (const auto& origin : waiters)
+    for (const auto& origin : origins)
         m_byOrigin.erase (origin);
 
-    return waiters;
+    return origins;
 }
 
 InboundCall InboundCallTable::take (CallId id)
@@ -90,7 +90,7 @@
     auto& call = node.mapped();
     m_byRequestId.erase (call.m_requestId);
 
-    for (const auto& origin : call.m_waiters)
+    for (const auto& origin : call.m_origins)
         m_byOrigin.erase (origin);
 
     return std::move (call);
--- a/modules/plankledge_policy/calls/IntakeGate.h
+++ b/modules/plankledge_policy/calls/IntakeGate.h
@@ -8,19 +8,20 @@
 {
 
 //==============================================================================
-/** Whether a node takes new work at all, whatever the work: for its own state and its target's. */
+/** Decides whether a node accepts new calls, by its own state and the state of its target. */
 class IntakeGate
 {
 public:
     //==============================================================================
-    /** From now on no new call is taken. */
+    /** Refuses all new calls from now on. */
     void close() noexcept { m_isClosed = true; }
 
-    /** From the given time on no new call is taken; nullopt: they are. */
+    /** Refuses all new calls from the given time on; nullopt removes that limit. */
     void closeFrom (std::optional<Time> time) noexcept { m_closesAt = time; }
 
-    /** What arrives until then lay in buffers while the process was frozen: it is too late for it. */
-    void refuseBufferedUntil (Time until) noexcept { m_bufferedUntil = until; }
+    /** Refuses calls that arrive before the given time: they were buffered while the process was paused, and
+        their deadlines may have passed. */
+    void refuseStaleInputUntil (Time until) noexcept { m_inputStaleUntil = until; }
 
     /** @returns whether the target's state changed */
     bool setTargetState (TargetState state) noexcept
@@ -33,13 +34,13 @@
     //==============================================================================
     TargetState targetState() const noexcept { return m_targetState; }
 
-    /** @returns whether what arrives now lay in buffers while the process was frozen */
-    bool isLate (Time now) const noexcept { return now < m_bufferedUntil; }
+    /** @returns whether calls that arrive now were buffered while the process was paused */
+    bool isInputStale (Time now) const noexcept { return now < m_inputStaleUntil; }
 
-    /** @returns why no new call is taken now; none where it is */
+    /** @returns why new calls are refused now; Reason::none if they are accepted */
     Reason refusal (Time now) const noexcept
     {
-        if (isLate (now))
+        if (isInputStale (now))
             return Reason::deadlineExceeded;
 
         const bool isLeaving = m_isClosed || (m_closesAt.has_value() && now >= *m_closesAt);
@@ -54,7 +55,7 @@
     //==============================================================================
     bool m_isClosed = false;
     std::optional<Time> m_closesAt;
-    Time m_bufferedUntil;
+    Time m_inputStaleUntil;
     TargetState m_targetState = TargetState::serving;
 };
 
--- a/modules/plankledge_policy/configuration/ConfigurationSync.cpp
+++ b/modules/plankledge_policy/configuration/ConfigurationSync.cpp
@@ -8,30 +8,31 @@
 namespace
 {
 
-constexpr Duration pollTimePerMember = Milliseconds (20); // so that all nodes together poll 50 times a second
-constexpr Duration pullPause = Milliseconds (300);
+constexpr Duration pollIntervalPerMember =
+    Milliseconds (20); // limits the whole cluster to 50 polls per second
+constexpr Duration minPullInterval = Milliseconds (300);
 
 } // namespace
 
 //==============================================================================
-ConfigurationSync::ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> inForce)
-    : m_judge (std::move (parser))
-    , m_inForce (std::move (inForce))
+ConfigurationSync::ConfigurationSync (DeclarationsParser parser, std::function<void (Turn&)> onInForce)
+    : m_stateMachine (std::move (parser))
+    , m_onInForce (std::move (onInForce))
 {
 }
 
 void ConfigurationSync::start (Turn& turn)
 {
-    turn.emit (ReadLog { LogStream::configuration, m_judge.nextOffset() });
+    turn.emit (ReadLog { LogStream::configuration, m_stateMachine.nextOffset() });
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_logPeriod / 2), TimerKind::logPoll);
     scheduleCheckpoint (turn);
 }
 
-void ConfigurationSync::onPollTime (Turn& turn, std::size_t clusterSize)
+void ConfigurationSync::onPollTimer (Turn& turn, std::size_t clusterSize)
 {
-    const auto scaled = pollTimePerMember * static_cast<Duration::rep> (clusterSize);
+    const auto scaled = pollIntervalPerMember * static_cast<Duration::rep> (clusterSize);
     const auto period = std::max (turn.settings().m_logPeriod, scaled);
-    turn.emit (ReadLog { LogStream::configuration, m_judge.nextOffset() });
+    turn.emit (ReadLog { LogStream::configuration, m_stateMachine.nextOffset() });
     turn.timers().set (turn.now() + period / 2 + turn.jittered (period / 2) / 2, TimerKind::logPoll);
 }
 
@@ -39,71 +40,71 @@
 {
     const auto before = version();
 
-    for (const auto& judged : m_judge.apply (read))
+    for (const auto& decided : m_stateMachine.apply (read))
     {
-        if (judged.m_verdict == Verdict::conflict)
-            turn.emit (WriteLog { Notice::configurationConflict, judged.m_id,
-                                  static_cast<std::int64_t> (judged.m_version) });
+        if (decided.m_verdict == ProposalVerdict::conflict)
+            turn.emit (WriteLog { Notice::configurationConflict, decided.m_id,
+                                  static_cast<std::int64_t> (decided.m_version) });
 
-        if (judged.m_verdict == Verdict::invalid)
+        if (decided.m_verdict == ProposalVerdict::invalid)
         {
             ++turn.counters().m_invalidConfigurations;
-            turn.emit (WriteLog { Notice::configurationInvalid, judged.m_id, 0 });
+            turn.emit (WriteLog { Notice::configurationInvalid, decided.m_id, 0 });
         }
     }
 
-    announce (turn, before);
+    notifyIfChanged (turn, before);
 }
 
-void ConfigurationSync::announce (Turn& turn, ConfigurationVersion before)
+void ConfigurationSync::notifyIfChanged (Turn& turn, ConfigurationVersion before)
 {
     if (version() == before)
         return;
 
     turn.emit (WriteLog { Notice::configurationInForce, {}, static_cast<std::int64_t> (version()) });
-    m_inForce (turn);
+    m_onInForce (turn);
 }
 
 //==============================================================================
 void ConfigurationSync::scheduleCheckpoint (Turn& turn)
 {
-    m_restatedAtSchedule = m_judge.lastRestated();
+    m_versionOffsetAtSchedule = m_stateMachine.lastVersionOffset();
     turn.timers().set (turn.now() + turn.jittered (turn.settings().m_checkpointPeriod),
                        TimerKind::checkpoint);
 }
 
-void ConfigurationSync::onCheckpointTime (Turn& turn)
+void ConfigurationSync::onCheckpointTimer (Turn& turn)
 {
-    const bool someoneDid = m_judge.lastRestated() > m_restatedAtSchedule;
+    const bool hasNewRecord = m_stateMachine.lastVersionOffset() > m_versionOffsetAtSchedule;
 
-    if (! someoneDid && version() > 0 && m_judge.canJudge())
-        turn.emit (AppendCheckpoint { m_judge.state() });
+    if (! hasNewRecord && version() > 0 && m_stateMachine.canDecide())
+        turn.emit (AppendCheckpoint { m_stateMachine.state() });
 
     scheduleCheckpoint (turn);
 }
 
 //==============================================================================
-void ConfigurationSync::onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion theirs)
+void ConfigurationSync::onPeerVersion (Turn& turn, const Member& peer, ConfigurationVersion peerVersion)
 {
-    if (theirs <= version() || turn.now() < m_nextPull)
+    if (peerVersion <= version() || turn.now() < m_nextPull)
         return;
 
-    m_nextPull = turn.now() + pullPause;
+    m_nextPull = turn.now() + minPullInterval;
     turn.emit (SendToPeer { peer.m_id.m_instance, peer.m_endpoint, ConfigurationPull { version() } });
 }
 
 void ConfigurationSync::onPull (Turn& turn, LinkId link, const NodeId& from,
                                 const ConfigurationPull& pull) const
 {
-    if (pull.m_have < version())
-        turn.emit (ReplyOnLink { link, from.m_instance, m_judge.state() });
+    if (pull.m_knownState < version())
+        turn.emit (ReplyOnLink { link, from.m_instance, m_stateMachine.state() });
 }
 
 void ConfigurationSync::onState (Turn& turn, const ConfigurationState& state)
 {
     const auto before = version();
-    m_judge.adopt (state);
-    announce (turn, before);
+    m_stateMachine.adopt (state);
+    notifyIfChanged (turn, before);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_policy/once/RecordTable.cpp
+++ b/modules/plankledge_policy/idempotency/RecordTable.cpp
@@ -1,4 +1,4 @@
-#include "plankledge_policy/once/RecordTable.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 
 #include "plankledge_core/Hash.h"
 #include <algorithm>
@@ -13,11 +13,11 @@
     return found != m_records.end() ? &found->second : nullptr;
 }
 
-void RecordTable::begin (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
-                         Duration window)
+void RecordTable::add (const std::string& key, RecordState state, std::uint64_t bodyHash, CallId call,
+                       Duration retention)
 {
     assert (! m_records.contains (key));
-    m_records[key] = Record { state, bodyHash, call, {}, window, {} };
+    m_records[key] = Record { state, bodyHash, call, {}, retention, {} };
 }
 
 void RecordTable::setRunning (const std::string& key)
@@ -32,15 +32,15 @@
     auto& record = m_records[key];
     record.m_state = RecordState::completed;
     record.m_result = result;
-    record.m_expires = now + record.m_window;
+    record.m_expiresAt = now + record.m_retention;
 }
 
-void RecordTable::setBroken (const std::string& key, const CallResult& result, Time now)
+void RecordTable::setResultLost (const std::string& key, const CallResult& result, Time now)
 {
     auto& record = m_records[key];
-    record.m_state = RecordState::broken;
+    record.m_state = RecordState::resultLost;
     record.m_result = result;
-    record.m_expires = now + record.m_window;
+    record.m_expiresAt = now + record.m_retention;
 }
 
 //==============================================================================
@@ -65,8 +65,9 @@
         return;
 
     const auto state =
-        copy.m_result.m_outcome == Outcome::completed ? RecordState::completed : RecordState::broken;
-    m_records[copy.m_key] = Record { state, copy.m_bodyHash, 0, copy.m_result, copy.m_for, now + copy.m_for };
+        copy.m_result.m_outcome == Outcome::completed ? RecordState::completed : RecordState::resultLost;
+    m_records[copy.m_key] =
+        Record { state, copy.m_bodyHash, 0, copy.m_result, copy.m_remainingTime, now + copy.m_remainingTime };
 }
 
 std::vector<RecordCopy> RecordTable::finishedRecords (Time now) const
@@ -76,16 +77,16 @@
     for (const auto& [key, record] : m_records)
     {
         const bool isFinished =
-            record.m_state == RecordState::completed || record.m_state == RecordState::broken;
+            record.m_state == RecordState::completed || record.m_state == RecordState::resultLost;
 
-        if (isFinished && record.m_expires > now)
-            copies.push_back ({ key, record.m_bodyHash, record.m_result, record.m_expires - now });
+        if (isFinished && record.m_expiresAt > now)
+            copies.push_back ({ key, record.m_bodyHash, record.m_result, record.m_expiresAt - now });
     }
 
     return copies;
 }
 
-std::vector<Fence> RecordTable::liveFences (Time now) const
+std::vector<Fence> RecordTable::activeFences (Time now) const
 {
     std::vector<Fence> fences;
 
@@ -96,18 +97,18 @@
     return fences;
 }
 
-std::vector<Fence> RecordTable::fencesForJoiner (Time now) const
+std::vector<Fence> RecordTable::fencesForJoiningNode (Time now) const
 {
-    auto fences = liveFences (now);
+    auto fences = activeFences (now);
 
     for (const auto& [key, record] : m_records)
     {
-        const bool isOpen =
+        const bool isInProgress =
             record.m_state == RecordState::inquiring || record.m_state == RecordState::running;
-        const auto left = isOpen ? record.m_window : record.m_expires - now;
+        const auto remaining = isInProgress ? record.m_retention : record.m_expiresAt - now;
 
-        if (left > Duration::zero())
-            fences.push_back ({ hashText (key), left });
+        if (remaining > Duration::zero())
+            fences.push_back ({ hashText (key), remaining });
     }
 
     return fences;
@@ -119,8 +120,8 @@
     std::erase_if (m_records, [now] (const auto& entry) {
         const auto& record = entry.second;
         const bool isFinished =
-            record.m_state == RecordState::completed || record.m_state == RecordState::broken;
-        return isFinished && record.m_expires <= now;
+            record.m_state == RecordState::completed || record.m_state == RecordState::resultLost;
+        return isFinished && record.m_expiresAt <= now;
     });
 }
 
--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "plankledge_policy/Turn.h"
+#include "plankledge_policy/idempotency/RecordTable.h"
 #include "plankledge_policy/membership/Membership.h"
-#include "plankledge_policy/once/RecordTable.h"
 #include <functional>
 #include <map>
 
@@ -11,12 +11,13 @@
 
 //==============================================================================
 /**
-    Takes this node out as planned: it says so, goes on taking work for a grace time,
-    ends what it has, hands its records and fences to each key's next candidates,
-    tells its service's members, and exits.
+    Drains this node before a planned exit. The node announces that it is leaving,
+    accepts new requests for a grace period, completes its pending calls, hands its
+    records and fences over to each key's next candidates, sends leave notices to the
+    members of its service, and exits.
 
-    Where nobody could take the records the members are not told; then what this node
-    knew counts as lost, as after a crash.
+    Unless each record was acknowledged by at least one peer, no leave notices are sent,
+    and the records count as lost, as after a crash.
 */
 class DrainProtocol
 {
@@ -24,23 +25,23 @@
     //==============================================================================
     struct Hooks
     {
-        std::function<void (Turn&)> m_announce; /**< tell others that this node is leaving */
-        std::function<void()> m_refuseNew;
+        std::function<void (Turn&)> m_announce; /**< announces to other nodes that this node is leaving */
+        std::function<void()> m_refuseNewCalls;
         std::function<bool()> m_isIdle;
     };
 
     DrainProtocol (Membership& membership, RecordTable& records, Hooks hooks);
 
     void start (Turn& turn);
-    void onTime (Turn& turn);
+    void onTimer (Turn& turn);
     void onHandoverAcknowledged (const HandoverAcknowledgement& acknowledgement);
     void onLeaveAcknowledged (const NodeId& from);
     void onPeerUnreachable (const InstanceName& instance) { m_unnotified.erase (instance); }
 
     bool isDraining() const noexcept { return m_phase != Phase::none; }
 
-    /** @returns whether new work is refused by now */
-    bool refusesNew() const noexcept { return m_phase > Phase::announcing; }
+    /** @returns whether new requests are refused */
+    bool refusesNewCalls() const noexcept { return m_phase > Phase::announcing; }
 
 private:
     //==============================================================================
@@ -56,13 +57,13 @@
 
     struct Batch
     {
-        Member m_heir;
+        Member m_successor;
         Handover m_handover;
     };
 
     void startHandover (Turn& turn);
     void sendBatches (Turn& turn);
-    void startNotices (Turn& turn);
+    void sendLeaveNotices (Turn& turn);
     void exit (Turn& turn);
 
     Membership& m_membership;
--- a/modules/plankledge_policy/relay/access/KeyGuard.cpp
+++ b/modules/plankledge_policy/relay/access/KeyGuard.cpp
@@ -33,7 +33,7 @@
 
 bool readsStore (const Peer& peer) noexcept
 {
-    return peer.m_store.m_isFollowing && peer.m_store.m_isReached;
+    return peer.m_store.m_isFollowing && peer.m_store.m_isStoreReachable;
 }
 
 } // namespace
@@ -64,7 +64,7 @@
 
 //==============================================================================
 void KeyGuard::onQuestion (Turn& turn, LinkId link, const InstanceName& from,
-                           const ProofQuestion& question) const
+                           const ProofQuery& question) const
 {
     if (const auto known = age (turn.now()); known.has_value() && *known <= maxAcceptedAge)
         turn.emit (ReplyOnLink { link, from, ProofAnswer { question.m_askedAt, m_version, *known } });
@@ -108,7 +108,7 @@
 
 /** @returns the primary follower of the zone. If there is none, or the proof is at least half the bound old:
     a random follower of any zone that reaches the store, or any reachable peer. */
-const Peer* KeyGuard::choosePeerToAsk (Turn& turn, const Peer* primary) const
+const Peer* KeyGuard::selectPeerToAsk (Turn& turn, const Peer* primary) const
 {
     const bool isLate = isOlderThan (m_bound / askAnyPeerDivisor, turn.now());
 
@@ -132,26 +132,26 @@
     // Half of the late questions go to any reachable peer, since the list of followers may be as stale as the
     // proof.
     const bool isAnyPeer = followers.empty() || (isLate && turn.random().below (2) == 0);
-    const auto& chosen = isAnyPeer ? reachable : followers;
-    return chosen.empty() ? nullptr : chosen[turn.random().below (chosen.size())];
+    const auto& eligible = isAnyPeer ? reachable : followers;
+    return eligible.empty() ? nullptr : eligible[turn.random().below (eligible.size())];
 }
 
 void KeyGuard::ask (Turn& turn, const Peer* primary)
 {
-    const auto* peer = choosePeerToAsk (turn, primary);
+    const auto* peer = selectPeerToAsk (turn, primary);
 
     if (peer == nullptr)
         return;
 
     m_askedAt = turn.now();
     turn.emit (SendToPeer { peer->m_member.m_id.m_instance, peer->m_member.m_endpoint,
-                            ProofQuestion { turn.now().time_since_epoch() } });
+                            ProofQuery { turn.now().time_since_epoch() } });
 }
 
 void KeyGuard::readStore (Turn& turn)
 {
     m_readAt = turn.now();
-    turn.emit (ReadTopic { StoreTopic::routes, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::routes, TopicReadMode::once, {}, {} });
 }
 
 void KeyGuard::logProofChange (Turn& turn)
--- a/modules/plankledge_policy/relay/access/KeyGuard.h
+++ b/modules/plankledge_policy/relay/access/KeyGuard.h
@@ -45,7 +45,7 @@
     void onConfirmed (Time askedAt) noexcept;
 
     /** Answers a peer's question with the age of the own proof, if there is a usable one. */
-    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const ProofQuestion& question) const;
+    void onQuestion (Turn& turn, LinkId link, const InstanceName& from, const ProofQuery& question) const;
 
     /** Adds a peer's answer to the proof. Answers with implausible times are ignored. */
     void onAnswer (Turn& turn, const ProofAnswer& answer);
@@ -75,7 +75,7 @@
     //==============================================================================
     bool isProofRequired() const noexcept { return m_areKeysDeclared && m_bound > Duration::zero(); }
     bool isOlderThan (Duration limit, Time now) const noexcept;
-    const Peer* choosePeerToAsk (Turn& turn, const Peer* primary) const;
+    const Peer* selectPeerToAsk (Turn& turn, const Peer* primary) const;
     void ask (Turn& turn, const Peer* primary);
     void readStore (Turn& turn);
     void logProofChange (Turn& turn);
--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -79,21 +79,22 @@
     if (m_directory.end().isKnown())
         return; // already received from a peer
 
-    turn.emit (ReadTopic { StoreTopic::members, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::once, {}, {} });
 }
 
 //==============================================================================
 void StoreSync::onTick (Turn& turn, bool areRoutesKnown)
 {
     listMembersWhenDue (turn);
-    m_isReached = ! m_storeLostSince.has_value() || turn.now() - *m_storeLostSince <= storeTimeout();
-    m_chosen = m_followers.choose (m_peers, m_isReached, turn.now());
+    m_isStoreReachable = ! m_storeLostSince.has_value() || turn.now() - *m_storeLostSince <= storeTimeout();
+    m_selection = m_followers.select (m_peers, m_isStoreReachable, turn.now());
     updateLastSeenTimes (turn.now());
 
     // Until the members are known, a node would always select itself.
-    const bool isChosen = m_chosen.m_isSelf && m_directory.end().isKnown();
+    const bool isSelected = m_selection.m_isSelf && m_directory.end().isKnown();
     const bool isAlone = isIsolated (turn.now());
-    setFollowing (turn, isChosen || isAlone, isAlone || m_chosen.m_isFirst, isChosen ? "chosen" : "alone");
+    setFollowing (turn, isSelected || isAlone, isAlone || m_selection.m_isFirst,
+                  isSelected ? "chosen" : "alone");
     readRoutesOnce (turn, areRoutesKnown);
     rewriteWhenDue (turn);
     withdrawUnreachableNodes (turn);
@@ -105,11 +106,11 @@
 }
 
 /** @returns the selected followers that are still known */
-std::vector<const Peer*> StoreSync::chosenPeers() const
+std::vector<const Peer*> StoreSync::selectedPeers() const
 {
     std::vector<const Peer*> result;
 
-    for (const auto& instance : m_chosen.m_others)
+    for (const auto& instance : m_selection.m_others)
         if (const auto* peer = m_peers.find (instance))
             result.push_back (peer);
 
@@ -121,8 +122,8 @@
     if (isPrimaryFollower())
         return nullptr;
 
-    for (const auto* peer : chosenPeers())
-        if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isReached)
+    for (const auto* peer : selectedPeers())
+        if (peer->m_isReachable && peer->m_store.m_isFollowing && peer->m_store.m_isStoreReachable)
             return peer;
 
     return nullptr;
@@ -130,16 +131,16 @@
 
 void StoreSync::updateLastSeenTimes (Time now)
 {
-    if (m_isFollowing && m_isReached)
+    if (m_isFollowing && m_isStoreReachable)
         m_readerSeenAt = now;
 
-    for (const auto* peer : chosenPeers())
+    for (const auto* peer : selectedPeers())
     {
         if (! peer->m_isReachable || ! peer->m_store.m_isFollowing)
             continue;
 
         m_followerSeenAt = now;
-        m_readerSeenAt = peer->m_store.m_isReached ? now : m_readerSeenAt;
+        m_readerSeenAt = peer->m_store.m_isStoreReachable ? now : m_readerSeenAt;
     }
 }
 
@@ -154,7 +155,7 @@
     const bool isChange = isFollowing != m_isFollowing;
     m_isFollowing = isFollowing;
     m_readWait = wait;
-    const auto reading = isFollowing ? TopicReading::follow : TopicReading::rest;
+    const auto reading = isFollowing ? TopicReadMode::follow : TopicReadMode::stop;
     turn.emit (ReadTopic { StoreTopic::members, reading, m_directory.end(), {} });
     turn.emit (ReadTopic { StoreTopic::routes, reading, {}, wait });
 
@@ -175,7 +176,7 @@
 
     m_routesAt = turn.now() + m_routesInterval;
     m_routesInterval = std::min (m_routesInterval * 2, maxRoutesInterval);
-    turn.emit (ReadTopic { StoreTopic::routes, TopicReading::once, {}, {} });
+    turn.emit (ReadTopic { StoreTopic::routes, TopicReadMode::once, {}, {} });
 }
 
 void StoreSync::onPause (Time now)
@@ -186,9 +187,9 @@
 }
 
 //==============================================================================
-void StoreSync::onReached (const StoreReached& event, Time now)
+void StoreSync::onReached (const StoreReachabilityChanged& event, Time now)
 {
-    if (event.m_isReached)
+    if (event.m_isStoreReachable)
         m_storeLostSince.reset();
     else if (! m_storeLostSince.has_value())
         m_storeLostSince = now;
@@ -202,14 +203,14 @@
     return m_directory.end() > before;
 }
 
-bool StoreSync::onMembersTold (Turn& turn, const MembersTold& told)
+bool StoreSync::onMembersUpdate (Turn& turn, const MembersUpdate& told)
 {
     if (told.m_end <= m_directory.end())
         return false;
 
     // The update contains all records, so the listing in progress is no longer needed.
     if (! m_directory.end().isKnown() && ! m_isFollowing)
-        turn.emit (ReadTopic { StoreTopic::members, TopicReading::rest, {}, {} });
+        turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::stop, {}, {} });
 
     const MembersRead read { told.m_members, told.m_withdrawn, {}, told.m_end };
     m_directory.apply (read);
@@ -233,17 +234,18 @@
                             MembersPull { m_directory.end() } });
 }
 
-std::vector<const Peer*> StoreSync::due (Time now, bool areRoutesKnown) const
+std::vector<const Peer*> StoreSync::peersDueForHello (Time now, bool areRoutesKnown) const
 {
     std::vector<const Peer*> result;
     const auto retryInterval = areRoutesKnown ? helloRetryInterval : helloRetryIntervalWithoutRoutes;
 
-    for (const auto* peer : chosenPeers())
+    for (const auto* peer : selectedPeers())
     {
-        const bool isDue = peer->m_askedAt.has_value() ? now - peer->m_lastAskedAt >= retryInterval
-                                                       : now - peer->m_gateUpdatedAt >= followerHelloInterval;
+        const bool isHelloDue = peer->m_unansweredHelloAt.has_value()
+                                    ? now - peer->m_lastHelloAt >= retryInterval
+                                    : now - peer->m_gateUpdatedAt >= followerHelloInterval;
 
-        if (isDue)
+        if (isHelloDue)
             result.push_back (peer);
     }
 
@@ -313,7 +315,7 @@
 /** Otherwise nodes that ended without withdrawing their records would stay in the store for ever. */
 void StoreSync::withdrawUnreachableNodes (Turn& turn)
 {
-    if (! m_chosen.m_isFirst || ! m_isFollowing || ! m_isReached)
+    if (! m_selection.m_isFirst || ! m_isFollowing || ! m_isStoreReachable)
         return m_unreachableSince.clear();
 
     for (const auto* peer : m_peers.ofZone (m_self.m_zone))
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -29,7 +29,7 @@
 {
 public:
     //==============================================================================
-    /** A node that has not heard from any follower for this long follows the store itself. Also the default
+    /** A node that has not reached any follower for this long follows the store itself. Also the default
         time for which the store may fail to answer before it counts as unreachable. */
     static constexpr Duration responseTimeout = Milliseconds (1000);
 
@@ -62,7 +62,7 @@
     /** @returns the other node that this node takes for the primary follower, or nullptr if there is none */
     const Peer* primaryFollower() const;
 
-    /** Must be called when this process resumes from a pause, which doesn't count as silence of the peers. */
+    /** Must be called when this process resumes from a pause, which doesn't count towards any timeout. */
     void onPause (Time now);
 
     /** Applies records read from the store.
@@ -75,27 +75,27 @@
 
         @returns true if they contained changes
     */
-    bool onMembersTold (Turn& turn, const MembersTold& told);
+    bool onMembersUpdate (Turn& turn, const MembersUpdate& told);
 
     /** Must be called when the store becomes reachable or unreachable. */
-    void onReached (const StoreReached& event, Time now);
+    void onReached (const StoreReachabilityChanged& event, Time now);
 
     /** Pulls the records that a peer has and this node lacks. */
     void onPeerView (Turn& turn, const Peer& peer);
 
     /** @returns the followers to which a hello is due */
-    std::vector<const Peer*> due (Time now, bool areRoutesKnown) const;
+    std::vector<const Peer*> peersDueForHello (Time now, bool areRoutesKnown) const;
 
-    StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isReached }; }
+    StoreView view() const noexcept { return { m_directory.end(), m_isFollowing, m_isStoreReachable }; }
 
     /** @returns the changes since the given position */
-    MembersTold since (const StorePlace& have) const { return m_directory.since (have); }
+    MembersUpdate changesSince (const StorePosition& have) const { return m_directory.changesSince (have); }
 
 private:
     //==============================================================================
     void setFollowing (Turn& turn, bool isFollowing, bool isPrimary, const char* reason);
     Duration storeTimeout() const noexcept;
-    std::vector<const Peer*> chosenPeers() const;
+    std::vector<const Peer*> selectedPeers() const;
     void updateLastSeenTimes (Time now);
     void readRoutesOnce (Turn& turn, bool areRoutesKnown);
     void listMembersWhenDue (Turn& turn);
@@ -109,7 +109,7 @@
     const Member m_self;
     PeerTable& m_peers;
     StoreFollowers m_followers;
-    StoreFollowers::Chosen m_chosen;
+    StoreFollowers::Selection m_selection;
     MemberDirectory m_directory;
     std::map<InstanceName, Time>
         m_unreachableSince;               /**< nodes of this zone, while this node is its first follower */
@@ -123,7 +123,7 @@
     bool m_isFollowing = false;
     Duration m_maxReadWait {}; /**< as the primary follower; zero: default */
     Duration m_readWait {};    /**< of reads of the routes, while following; zero: not primary */
-    bool m_isReached = true;
+    bool m_isStoreReachable = true;
     StoreEra m_checkedEra = 0;       /**< of the records that were last searched for the own record */
     std::optional<Time> m_rewriteAt; /**< when to write the own record that the store has lost */
     bool m_isPublished = false;
--- a/modules/plankledge_runtime/RumourSocket.h
+++ b/modules/plankledge_runtime/GossipSocket.h
@@ -14,24 +14,24 @@
 {
 
 //==============================================================================
-/** Sends and receives rumours as UDP datagrams; what can't be read is counted and dropped. */
-class RumourSocket
+/** Sends and receives gossip messages as UDP datagrams. Malformed datagrams are reported and dropped. */
+class GossipSocket
 {
 public:
     //==============================================================================
     struct Hooks
     {
-        std::function<void (Rumour)> m_onRumour;
+        std::function<void (GossipMessage)> m_onGossip;
         std::function<void (WireError)> m_onBadDatagram;
     };
 
-    RumourSocket (boost::asio::io_context& context, Hooks hooks);
-    ~RumourSocket();
+    GossipSocket (boost::asio::io_context& context, Hooks hooks);
+    ~GossipSocket();
 
-    /** @returns the error where the address can't be bound */
+    /** @returns the error if the address cannot be bound */
     absl::Status listen (const Endpoint& endpoint);
 
-    void send (const Endpoint& endpoint, const Rumour& rumour);
+    void send (const Endpoint& endpoint, const GossipMessage& gossip);
 
     /** @returns bytes sent and received since the start */
     std::uint64_t bytes() const noexcept;
--- a/modules/plankledge_runtime/LogEdge.cpp
+++ b/modules/plankledge_runtime/LogEdge.cpp
@@ -25,17 +25,17 @@
 {
 }
 
-void LogEdge::carryOut (const FetchList&)
+void LogEdge::execute (const FetchList&)
 {
     m_client.fetchList ([this] (const auto& list) {
-        note (list.status());
+        reportError (list.status());
 
         if (list.ok())
             m_node.submit (ListReceived { *list });
     });
 }
 
-void LogEdge::carryOut (const ReadLog& effect)
+void LogEdge::execute (const ReadLog& effect)
 {
     const auto stream = effect.m_stream == LogStream::configuration ? configurationStream : joinStream;
     m_client.readLog (stream, effect.m_from, [this, effect] (const auto& page) { onPage (effect, page); });
@@ -43,7 +43,7 @@
 
 void LogEdge::onPage (const ReadLog& read, const absl::StatusOr<LogPage>& page)
 {
-    note (page.status());
+    reportError (page.status());
 
     if (! page.ok())
         return;
@@ -55,7 +55,7 @@
         for (const auto& record : page->m_records)
         {
             auto decoded = decodeConfigurationRecord (record);
-            note (decoded.status());
+            reportError (decoded.status());
 
             if (decoded.ok())
                 event.m_records.push_back (*std::move (decoded));
@@ -69,7 +69,7 @@
     for (const auto& record : page->m_records)
     {
         auto decoded = decodeJoinRecord (record);
-        note (decoded.status());
+        reportError (decoded.status());
 
         if (decoded.ok())
             event.m_records.push_back (*std::move (decoded));
@@ -78,23 +78,23 @@
     m_node.submit (std::move (event));
 }
 
-void LogEdge::carryOut (const AppendJoin& effect)
+void LogEdge::execute (const AppendJoin& effect)
 {
     m_client.append (joinStream, encodeJoinRecord (effect.m_member),
-                     [this] (const auto& status) { note (status); });
+                     [this] (const auto& status) { reportError (status); });
 }
 
-void LogEdge::carryOut (const AppendCheckpoint& effect)
+void LogEdge::execute (const AppendCheckpoint& effect)
 {
     const auto& state = effect.m_state;
     const ConfigurationRecord record {
         -1, ConfigurationRecordKind::checkpoint, m_self, state.m_version, state.m_asOfOffset, state.m_text
     };
     m_client.append (configurationStream, encodeConfigurationRecord (record),
-                     [this] (const auto& status) { note (status); });
+                     [this] (const auto& status) { reportError (status); });
 }
 
-void LogEdge::note (const absl::Status& status)
+void LogEdge::reportError (const absl::Status& status)
 {
     if (status.ok())
         return;
--- a/modules/plankledge_runtime/PeerEdge.cpp
+++ b/modules/plankledge_runtime/PeerEdge.cpp
@@ -19,14 +19,16 @@
                                           { { "reason", std::string (nameOf (error)) } });
                  },
                  [this, &node] (const InstanceName& to, const PeerMessage& message, std::size_t bytes) {
-                     count (node, to, message, bytes);
+                     countFrame (node, to, message, bytes);
                  } })
-    , m_rumours (context, { [&node] (Rumour rumour) { node.submit (RumourReceived { std::move (rumour) }); },
-                            [&metrics] (WireError error) { ++metrics.m_badDatagrams[error]; } })
+    , m_gossip (context,
+                { [&node] (GossipMessage gossip) { node.submit (GossipReceived { std::move (gossip) }); },
+                  [&metrics] (WireError error) { ++metrics.m_badDatagrams[error]; } })
 {
 }
 
-void PeerEdge::count (const Node& node, const InstanceName& to, const PeerMessage& message, std::size_t bytes)
+void PeerEdge::countFrame (const Node& node, const InstanceName& to, const PeerMessage& message,
+                           std::size_t bytes)
 {
     const auto isOther = node.reducer().servesRelayed() && node.reducer().relay().isInOtherZone (to);
     auto& counters = isOther ? m_traffic.m_otherZone : m_traffic.m_ownZone;
@@ -36,23 +38,23 @@
 absl::Status PeerEdge::listen (const Endpoint& endpoint)
 {
     auto status = m_links.listen (endpoint);
-    status.Update (m_rumours.listen (endpoint));
+    status.Update (m_gossip.listen (endpoint));
     return status;
 }
 
-void PeerEdge::carryOut (const SendToPeer& effect)
+void PeerEdge::execute (const SendToPeer& effect)
 {
     m_links.send (effect.m_instance, effect.m_endpoint, effect.m_message);
 }
 
-void PeerEdge::carryOut (const ReplyOnLink& effect)
+void PeerEdge::execute (const ReplyOnLink& effect)
 {
     m_links.reply (effect.m_link, effect.m_instance, effect.m_message);
 }
 
-void PeerEdge::carryOut (const SendRumour& effect)
+void PeerEdge::execute (const SendGossip& effect)
 {
-    m_rumours.send (effect.m_endpoint, effect.m_rumour);
+    m_gossip.send (effect.m_endpoint, effect.m_gossipMessage);
 }
 
 } // namespace plankledge
--- a/modules/plankledge_runtime/RelayTargetEdge.cpp
+++ b/modules/plankledge_runtime/RelayTargetEdge.cpp
@@ -9,29 +9,29 @@
     , m_metrics (metrics)
     , m_hooks (std::move (hooks))
     , m_client (
-          context, [this] (CallId call, TargetClient::Answer answer) { onDone (call, std::move (answer)); },
-          m_hooks.m_isAnswerTo)
+          context, [this] (CallId call, TargetClient::Result result) { onDone (call, std::move (result)); },
+          m_hooks.m_isResponseTo)
 {
 }
 
-void RelayTargetEdge::carryOut (const RelayToTarget& effect)
+void RelayTargetEdge::execute (const RelayToTarget& effect)
 {
     m_client.send (effect.m_call, effect.m_endpoint, m_hooks.m_encode (effect));
 }
 
-void RelayTargetEdge::onDone (CallId call, TargetClient::Answer answer)
+void RelayTargetEdge::onDone (CallId call, TargetClient::Result result)
 {
     TargetReply reply;
 
-    if (const auto* failure = std::get_if<TargetFailure> (&answer))
+    if (const auto* failure = std::get_if<TargetFailure> (&result))
     {
         const bool isBroken = *failure == TargetFailure::broken;
-        m_metrics.m_targetBroken += isBroken ? 1 : 0;
+        m_metrics.m_brokenTargetCalls += isBroken ? 1 : 0;
         reply.m_kind = isBroken ? TargetReplyKind::broken : TargetReplyKind::notSent;
     }
     else
     {
-        reply = m_hooks.m_decode (std::get<HttpResponse> (std::move (answer)));
+        reply = m_hooks.m_decode (std::get<HttpResponse> (std::move (result)));
     }
 
     reply.m_call = call;
--- a/modules/plankledge_runtime/RelayTargetEdge.h
+++ b/modules/plankledge_runtime/RelayTargetEdge.h
@@ -8,7 +8,7 @@
 {
 
 //==============================================================================
-/** Where a node meets its target with relayed requests; how they are written is a hook's matter. */
+/** Sends relayed requests to the local target over HTTP. Hooks define the request and response format. */
 class RelayTargetEdge
 {
 public:
@@ -17,21 +17,21 @@
     {
         std::function<HttpRequest (const RelayToTarget&)> m_encode;
 
-        /** Reads a whole answer; all but its call. */
+        /** Decodes a complete response, without its call id. */
         std::function<TargetReply (HttpResponse)> m_decode;
 
-        TargetClient::Matcher m_isAnswerTo;
+        TargetClient::Matcher m_isResponseTo;
     };
 
     RelayTargetEdge (boost::asio::io_context& context, Node& node, NodeMetrics& metrics, Hooks hooks);
 
-    void carryOut (const RelayToTarget& effect);
-    void carryOut (const CancelTargetCall& effect) { m_client.abandon (effect.m_call); }
-    void carryOut (const DropTargetConnections&) { m_client.dropIdle(); }
+    void execute (const RelayToTarget& effect);
+    void execute (const CancelTargetCall& effect) { m_client.cancelRequest (effect.m_call); }
+    void execute (const DropTargetConnections&) { m_client.closeIdle(); }
 
 private:
     //==============================================================================
-    void onDone (CallId call, TargetClient::Answer answer);
+    void onDone (CallId call, TargetClient::Result result);
 
     Node& m_node;
     NodeMetrics& m_metrics;
--- a/modules/plankledge_runtime/TargetEdge.cpp
+++ b/modules/plankledge_runtime/TargetEdge.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr Duration probePeriod = Milliseconds (250);
+constexpr Duration probeInterval = Milliseconds (250);
 constexpr Duration probeTimeout = Milliseconds (500);
-constexpr Duration quietBeforeProbe = std::chrono::seconds (1);
+constexpr Duration idleBeforeProbe = std::chrono::seconds (1);
 
 } // namespace
 
@@ -32,7 +32,7 @@
     , m_metrics (metrics)
     , m_endpoint (target)
     , m_client (context,
-                [this] (CallId call, TargetClient::Answer answer) { onDone (call, std::move (answer)); })
+                [this] (CallId call, TargetClient::Result result) { onDone (call, std::move (result)); })
     , m_probeClient (context)
     , m_timer (std::make_unique<Timer> (context))
 {
@@ -40,42 +40,42 @@
 
 TargetEdge::~TargetEdge() = default;
 
-void TargetEdge::carryOut (const DispatchToTarget& effect)
+void TargetEdge::execute (const DispatchToTarget& effect)
 {
     m_client.send (effect.m_call, m_endpoint, makeTargetRequest (effect));
 }
 
-void TargetEdge::carryOut (const CancelTargetCall& effect)
+void TargetEdge::execute (const CancelTargetCall& effect)
 {
-    m_client.abandon (effect.m_call);
+    m_client.cancelRequest (effect.m_call);
 }
 
-void TargetEdge::onDone (CallId call, TargetClient::Answer answer)
+void TargetEdge::onDone (CallId call, TargetClient::Result result)
 {
-    if (const auto* failure = std::get_if<TargetFailure> (&answer))
+    if (const auto* failure = std::get_if<TargetFailure> (&result))
     {
         if (*failure == TargetFailure::broken)
-            ++m_metrics.m_targetBroken;
+            ++m_metrics.m_brokenTargetCalls;
         else
             m_state = TargetState::unreachable;
 
         return m_node.submit (TargetFailed { call, *failure });
     }
 
-    auto& response = std::get<HttpResponse> (answer);
-    noteWord (response);
+    auto& response = std::get<HttpResponse> (result);
+    processResponse (response);
     m_node.submit (TargetAnswered { call, response.m_status, std::move (response.m_contentType),
                                     std::move (response.m_body) });
 }
 
-void TargetEdge::noteWord (const HttpResponse& response)
+void TargetEdge::processResponse (const HttpResponse& response)
 {
-    m_lastWord = BootClock::now();
+    m_lastResponseTime = BootClock::now();
     const bool isDraining = findHeader (response.m_headers, "Plankledge-Target-State") == "draining";
-    observe (isDraining ? TargetState::draining : TargetState::serving);
+    updateState (isDraining ? TargetState::draining : TargetState::serving);
 }
 
-void TargetEdge::observe (TargetState state)
+void TargetEdge::updateState (TargetState state)
 {
     if (state == m_state)
         return;
@@ -87,24 +87,24 @@
 void TargetEdge::probe()
 {
     const auto now = BootClock::now();
-    const bool isQuiet = now - m_lastWord >= quietBeforeProbe;
+    const bool hasBeenIdle = now - m_lastResponseTime >= idleBeforeProbe;
 
-    if (! m_isProbing && (isQuiet || m_state != TargetState::serving))
+    if (! m_isProbing && (hasBeenIdle || m_state != TargetState::serving))
     {
         m_isProbing = true;
         HttpRequest request;
         request.m_target = "/health";
-        m_probeClient.send (m_endpoint, request, probeTimeout, [this] (const auto& answer) {
+        m_probeClient.send (m_endpoint, request, probeTimeout, [this] (const auto& response) {
             m_isProbing = false;
 
-            if (answer.ok())
-                noteWord (*answer);
-            else if (absl::IsUnavailable (answer.status()))
-                observe (TargetState::unreachable);
+            if (response.ok())
+                processResponse (*response);
+            else if (absl::IsUnavailable (response.status()))
+                updateState (TargetState::unreachable);
         });
     }
 
-    m_timer->m_probe.expires_after (probePeriod);
+    m_timer->m_probe.expires_after (probeInterval);
     m_timer->m_probe.async_wait ([this] (const boost::system::error_code& error) {
         if (! error)
             probe();
--- a/modules/plankledge_wire/FrameCodec.cpp
+++ b/modules/plankledge_wire/FrameCodec.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** The version comes first so that it can be judged before anything else is read. */
+/** The version is the first field, so that it can be checked before the rest is decoded. */
 absl::StatusOr<std::uint16_t> decodeVersion (std::string_view bytes)
 {
     std::uint16_t version = 0;
@@ -26,7 +26,7 @@
     return version;
 }
 
-template <class Value> absl::StatusOr<Value> decodeWhole (std::string_view bytes)
+template <class Value> absl::StatusOr<Value> decodeExactly (std::string_view bytes)
 {
     try
     {
@@ -39,13 +39,13 @@
 
         return value;
     }
-    catch (const std::exception&) // cereal and the containers throw their own types
+    catch (const std::exception&) // cereal and the standard containers throw different types
     {
         return toStatus (WireError::malformed);
     }
 }
 
-/** @returns whether every enumerator that came over the wire is one we know */
+/** @returns whether the decoded enumerators are in range */
 bool isValid (const Member& member) noexcept
 {
     return member.m_state <= MemberState::leaving;
@@ -106,9 +106,9 @@
 struct Datagram
 {
     std::uint16_t m_version = protocolVersion;
-    Rumour m_rumour;
+    GossipMessage m_gossipMessage;
 
-    template <class Archive> void serialize (Archive& archive) { archive (m_version, m_rumour); }
+    template <class Archive> void serialize (Archive& archive) { archive (m_version, m_gossipMessage); }
 };
 
 } // namespace
@@ -134,7 +134,7 @@
 
     std::memcpy (&length, header.data(), sizeof (length));
 
-    if (length > maximumFrameBytes)
+    if (length > maxFrameBytes)
         return toStatus (WireError::tooLarge);
 
     return length;
@@ -145,7 +145,7 @@
     if (const auto version = decodeVersion (payload); ! version.ok())
         return version.status();
 
-    auto frame = decodeWhole<Frame> (payload);
+    auto frame = decodeExactly<Frame> (payload);
 
     if (! frame.ok())
         return frame;
@@ -160,36 +160,37 @@
 }
 
 //==============================================================================
-std::string encodeRumour (Rumour rumour)
+std::string encodeGossipMessage (GossipMessage gossip)
 {
-    auto bytes = encode (Datagram { protocolVersion, rumour });
+    auto bytes = encode (Datagram { protocolVersion, gossip });
 
-    while (bytes.size() > maximumDatagramBytes && ! rumour.m_news.empty())
+    while (bytes.size() > maxDatagramBytes && ! gossip.m_memberUpdates.empty())
     {
-        rumour.m_news.pop_back();
-        bytes = encode (Datagram { protocolVersion, rumour });
+        gossip.m_memberUpdates.pop_back();
+        bytes = encode (Datagram { protocolVersion, gossip });
     }
 
     return bytes;
 }
 
-absl::StatusOr<Rumour> decodeRumour (std::string_view datagram)
+absl::StatusOr<GossipMessage> decodeGossipMessage (std::string_view datagram)
 {
-    if (datagram.size() > maximumDatagramBytes)
+    if (datagram.size() > maxDatagramBytes)
         return toStatus (WireError::tooLarge);
 
     if (const auto version = decodeVersion (datagram); ! version.ok())
         return version.status();
 
-    auto decoded = decodeWhole<Datagram> (datagram);
+    auto decoded = decodeExactly<Datagram> (datagram);
 
     if (! decoded.ok())
         return decoded.status();
 
-    if (! isValid (decoded->m_rumour.m_sender) || ! areValid (decoded->m_rumour.m_news))
+    if (! isValid (decoded->m_gossipMessage.m_sender) ||
+        ! areValid (decoded->m_gossipMessage.m_memberUpdates))
         return toStatus (WireError::malformed);
 
-    return decoded->m_rumour;
+    return decoded->m_gossipMessage;
 }
 
 } // namespace plankledge
--- a/tests/contracts/Declarations_test.cpp
+++ b/tests/contracts/Declarations_test.cpp
@@ -1,4 +1,4 @@
-/*  Contract of the declarations' format: all faults at once, each with its place. */
+/*  Contract of the declarations' format: all faults are reported at once, each with its path. */
 
 #include "plankledge_formats/DeclarationsJson.h"
 #include <doctest/doctest.h>
@@ -42,13 +42,13 @@
       { { "services.s.operations.o.longest_wait_ms", DeclarationError::outOfRange },
         { "services.s.operations.o.retry_budget", DeclarationError::outOfRange },
         { "services.s.operations.o.record_window_ms", DeclarationError::outOfRange } } },
-    { std::string (maximumDeclarationBytes + 1, ' '), { { "", DeclarationError::tooLarge } } },
+    { std::string (maxDeclarationBytes + 1, ' '), { { "", DeclarationError::tooLarge } } },
 };
 
 } // namespace
 
 //==============================================================================
-TEST_CASE ("faults in declarations are all found, with their places")
+TEST_CASE ("all faults in declarations are reported, with their paths")
 {
     for (const auto& row : rows)
     {
@@ -58,13 +58,13 @@
 
         for (std::size_t index = 0; index < row.m_faults.size(); ++index)
         {
-            CHECK (parsed.m_faults[index].m_place == row.m_faults[index].m_place);
+            CHECK (parsed.m_faults[index].m_location == row.m_faults[index].m_location);
             CHECK (nameOf (parsed.m_faults[index].m_error) == nameOf (row.m_faults[index].m_error));
         }
     }
 }
 
-TEST_CASE ("valid declarations are read whole")
+TEST_CASE ("valid declarations are parsed, with defaults for missing fields")
 {
     const auto declarations = parseValidDeclarations (R"({"services":{"deposits":{"slots":50,"operations":{
         "pay":{"class":"critical","repeatable":false,"longest_wait_ms":3000,"retry_budget":1,"record_window_ms":30000},
--- a/tests/promises/NotRun_test.cpp
+++ b/tests/promises/NotRun_test.cpp
@@ -1,5 +1,5 @@
-/*  Promise 2: an answer of not-run is true: the request ran nowhere in its chain. Many small requests through
-   the real programs while nodes and targets are killed, frozen and overloaded. */
+/*  Promise 2: a request that is answered not-run has run nowhere in its call chain. Sends many small
+   requests through the real programs while nodes and targets are killed, paused and overloaded. */
 
 #include "support/Cluster.h"
 #include <csignal>
@@ -14,10 +14,10 @@
 namespace
 {
 
-/** Twice what the slots carry, so that refusals and faults meet. */
-constexpr std::chrono::milliseconds pace { 8 };
+/** Short enough to offer twice the capacity of the slots, so that refusals and faults coincide. */
+constexpr std::chrono::milliseconds requestInterval { 8 };
 
-/** A fault while requests are under way. */
+/** A fault that is injected while requests are in flight. */
 struct Row
 {
     std::string m_name;
@@ -25,13 +25,14 @@
 };
 
 const Row rows[] = {
-    { "no fault but too few slots", [] (Cluster&) {} },
+    { "no fault, only overload", [] (Cluster&) {} },
     { "a target is killed", [] (Cluster& cluster) { cluster.signalTarget ("p1", SIGKILL); } },
     { "a node of a middle service is killed", [] (Cluster& cluster) { cluster.signalNode ("p2", SIGKILL); } },
-    { "a node of a leaf is frozen", [] (Cluster& cluster) { cluster.signalNode ("c1", SIGSTOP); } },
-    { "a node is stopped as planned", [] (Cluster& cluster) { cluster.signalNode ("l1", SIGTERM); } },
-    { "the platform is down", [] (Cluster& cluster) { cluster.controlPlatform (R"({"down":true})"); } },
-    { "targets fail", [] (Cluster& cluster) { cluster.controlTarget ("c2", R"({"failing":true})"); } },
+    { "a node of a leaf service is paused", [] (Cluster& cluster) { cluster.signalNode ("c1", SIGSTOP); } },
+    { "a node is shut down gracefully", [] (Cluster& cluster) { cluster.signalNode ("l1", SIGTERM); } },
+    { "the platform is unavailable",
+      [] (Cluster& cluster) { cluster.controlPlatform (R"({"down":true})"); } },
+    { "a target fails", [] (Cluster& cluster) { cluster.controlTarget ("c2", R"({"failing":true})"); } },
 };
 
 void addServices (Cluster& cluster)
@@ -53,10 +54,10 @@
     cluster.addPair ("s1", "search", entry);
 }
 
-/** The land registry with few slots, so that much is refused. */
-std::string smallSlots()
+/** @returns the declarations with few slots, so that many requests are refused */
+std::string declarationsWithFewSlots()
 {
-    std::string text = landRegistry;
+    std::string text = landRegistryDeclarations;
 
     for (auto at = text.find ("\"slots\":20"); at != std::string::npos; at = text.find ("\"slots\":20"))
         text.replace (at, 10, "\"slots\":2,\"queue_length\":2");
@@ -64,26 +65,26 @@
     return text;
 }
 
-struct Sent
+struct SentCall
 {
     std::string m_name;
     std::future<absl::StatusOr<HttpResponse>> m_answer;
 };
 
-std::vector<Sent> sendMany (Cluster& cluster, const std::string& prefix, int count)
+std::vector<SentCall> sendMany (Cluster& cluster, const std::string& prefix, int count)
 {
-    std::vector<Sent> sent;
+    std::vector<SentCall> sent;
 
     for (int number = 0; number < count; ++number)
     {
         const auto name = fmt::format ("{}{}", prefix, number);
-        std::this_thread::sleep_for (pace);
+        std::this_thread::sleep_for (requestInterval);
 
         if (number % 2 == 0)
-            sent.push_back ({ name, cluster.callLater ("s1", "/search/parcels?" + name) });
+            sent.push_back ({ name, cluster.callAsync ("s1", "/search/parcels?" + name) });
         else
-            sent.push_back ({ name, cluster.callLater (number % 4 == 1 ? "l1" : "l2", "/lodgement/lodge",
-                                                       sending (name, 1, 0)) });
+            sent.push_back ({ name, cluster.callAsync (number % 4 == 1 ? "l1" : "l2", "/lodgement/lodge",
+                                                       makeAttemptHeaders (name, 1, 0)) });
     }
 
     return sent;
@@ -92,21 +93,21 @@
 } // namespace
 
 //==============================================================================
-TEST_CASE ("what is answered not-run ran nowhere")
+TEST_CASE ("a request that is answered not-run ran nowhere")
 {
     for (const auto& row : rows)
     {
         CAPTURE (row.m_name);
         Cluster cluster;
-        cluster.propose (smallSlots(), 0, "first");
+        cluster.propose (declarationsWithFewSlots(), 0, "first");
         addServices (cluster);
-        cluster.waitReady();
+        cluster.waitUntilReady();
 
         auto sent = sendMany (cluster, "before-", 60);
         row.m_fault (cluster);
 
-        for (auto& more : sendMany (cluster, "after-", 100))
-            sent.push_back (std::move (more));
+        for (auto& sentAfterFault : sendMany (cluster, "after-", 100))
+            sent.push_back (std::move (sentAfterFault));
 
         std::map<std::string, int> outcomes;
 
@@ -133,24 +134,25 @@
     }
 }
 
-TEST_CASE ("a connection that breaks after sending is unknown, never not-run")
+TEST_CASE ("a connection that breaks after the request was sent yields unknown, never not-run")
 {
     Cluster cluster;
     PairOptions slow;
     slow.m_serviceMs = 600;
-    cluster.propose (landRegistry, 0, "first");
+    cluster.propose (landRegistryDeclarations, 0, "first");
     cluster.addPair ("l1", "lodgement", slow);
-    cluster.waitReady();
-    auto answer = cluster.callLater ("l1", "/lodgement/lodge", sending ("broken", 1, 0));
+    cluster.waitUntilReady();
+    auto answer = cluster.callAsync ("l1", "/lodgement/lodge", makeAttemptHeaders ("broken", 1, 0));
     REQUIRE (waitFor ([&] { return cluster.runsOf ("broken") == 1; }));
     cluster.signalTarget ("l1", SIGKILL);
     const auto first = answer.get();
     CHECK (outcomeOf (first) == "unknown");
     CHECK (reasonOf (first) == "target-broken");
-    CHECK (outcomeOf (cluster.call ("l1", "/lodgement/lodge", sending ("broken", 2, 700))) == "unknown");
+    CHECK (outcomeOf (cluster.call ("l1", "/lodgement/lodge", makeAttemptHeaders ("broken", 2, 700))) ==
+           "unknown");
 
-    // Its target refuses connections now: that is known not to have run.
-    const auto next = cluster.call ("l1", "/lodgement/lodge", sending ("refused", 1, 0));
+    // The target now refuses connections, so the request is known not to have run.
+    const auto next = cluster.call ("l1", "/lodgement/lodge", makeAttemptHeaders ("refused", 1, 0));
     CHECK (outcomeOf (next) == "not-run");
 }
 
--- a/tests/relay/gate/RestartedTarget_test.cpp
+++ b/tests/relay/gate/RestartedTarget_test.cpp
@@ -35,7 +35,7 @@
     const auto running = site.send ("entry", "running", "/write/x");
     site.send ("entry", "also running", "/write/x");
     site.run (Milliseconds (20));
-    const auto waiting = site.send ("entry", "waiting", "/write/x");
+    const auto queued = site.send ("entry", "waiting", "/write/x");
     site.run (Milliseconds (20));
     REQUIRE (site.runsOf ("running").size() == 1);
     REQUIRE (site.runsOf ("waiting").empty());
@@ -46,8 +46,8 @@
     REQUIRE (site.answers().contains (running));
     CHECK (site.answers().at (running).m_result.m_outcome == Outcome::unknown);
     CHECK (site.runsOf ("running").size() == 1);
-    REQUIRE (site.answers().contains (waiting));
-    CHECK (site.answers().at (waiting).m_result.m_outcome == Outcome::completed);
+    REQUIRE (site.answers().contains (queued));
+    CHECK (site.answers().at (queued).m_result.m_outcome == Outcome::completed);
     CHECK (site.runsOf ("waiting").size() == 1);
 }
 
@@ -59,13 +59,13 @@
     CHECK (site.reducer ("one").relay().gate().target().slots() == 8);
 
     // A late announcement that the earlier incarnation is draining.
-    site.tell ("one", TargetAnnounced { "one-target-1",
-                                        AnnouncedState::draining,
-                                        999,
-                                        "plans",
-                                        { "10.1.0.1", 8080 },
-                                        2,
-                                        site.targetStartedAt ("one") - seconds (1) });
+    site.applyEvent ("one", TargetAnnounced { "one-target-1",
+                                              AnnouncedState::draining,
+                                              999,
+                                              "plans",
+                                              { "10.1.0.1", 8080 },
+                                              2,
+                                              site.targetStartedAt ("one") - seconds (1) });
     const auto ticket = site.send ("entry", "after", "/read/x");
     site.run (Milliseconds (200));
     REQUIRE (site.answers().contains (ticket));
--- a/tests/relay/store/StoreFollowers_test.cpp
+++ b/tests/relay/store/StoreFollowers_test.cpp
@@ -96,7 +96,7 @@
     StartedFleet fleet (100);
 
     for (const auto& name : fleet.following())
-        fleet.turnAway (name);
+        fleet.rejectCallsOf (name);
 
     fleet.run (seconds (4));
     fleet.write (2);
@@ -120,13 +120,13 @@
 // the new version.
 TEST_CASE ("a version written as the store recovers from an outage is in force on all nodes within 3 s")
 {
-    for (const auto silence : { Milliseconds (700), Milliseconds (2100), Milliseconds (8000) })
+    for (const auto outage : { Milliseconds (700), Milliseconds (2100), Milliseconds (8000) })
     {
-        CAPTURE (silence.count());
+        CAPTURE (outage.count());
         StartedFleet fleet (60);
         fleet.run (Milliseconds (1234));
         fleet.setDown (true);
-        fleet.run (silence);
+        fleet.run (outage);
         fleet.setDown (false);
         fleet.write (2);
         CHECK (fleet.timeUntilInForce (2, seconds (5)) <= Milliseconds (2900));
@@ -165,7 +165,7 @@
 TEST_CASE ("a record removed while its node is running is restored within two seconds")
 {
     StartedFleet fleet (100);
-    fleet.drop ("node-17");
+    fleet.withdrawRecord ("node-17");
     fleet.run (seconds (2));
     CHECK (fleet.hasRecordOf ("node-17"));
 }
@@ -176,7 +176,7 @@
 
     for (const auto& name : fleet.names())
         if (name != "node-8")
-            fleet.cut ("node-8", name);
+            fleet.addPartition ("node-8", name);
 
     fleet.run (seconds (4));
     const auto following = fleet.following();
@@ -206,7 +206,7 @@
     {
         CAPTURE (nodes);
         StartedFleet fleet (nodes);
-        fleet.restoreCopy (nodes, 0); // all of them
+        fleet.restoreBackup (nodes, 0); // all of them
         const auto before = fleet.calls();
         fleet.run (seconds (2));
         const auto calls = fleet.calls() - before;
@@ -229,13 +229,13 @@
     StartedFleet fleet (68);
 
     for (unsigned index = 0; index < 12; ++index)
-        fleet.turnAway (fleet.names()[index]);
+        fleet.rejectCallsOf (fleet.names()[index]);
 
-    fleet.restoreCopy (40, 0);
+    fleet.restoreBackup (40, 0);
     fleet.run (Milliseconds (300));
-    fleet.restoreCopy (10, 0);
+    fleet.restoreBackup (10, 0);
     fleet.run (seconds (2));
-    fleet.letAllIn();
+    fleet.acceptAllCalls();
     fleet.run (seconds (4));
 
     for (const auto& name : fleet.names())
@@ -253,7 +253,7 @@
     fleet.write (2);
     fleet.run (seconds (2));
     REQUIRE (fleet.nodesWith (2) == 68);
-    fleet.restoreCopy (0, 1);
+    fleet.restoreBackup (0, 1);
     fleet.run (seconds (2));
     CHECK (fleet.nodesWith (2) == 68);
     fleet.write (2);
--- a/tests/support/Rig.cpp
+++ b/tests/support/Rig.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-constexpr Duration longestSleep = Milliseconds (100);
+constexpr Duration maxTickInterval = Milliseconds (100);
 
 } // namespace
 
 //==============================================================================
-void Rig::at (Duration delay, std::function<void()> action)
+void Rig::schedule (Duration delay, std::function<void()> action)
 {
     m_queue.push ({ m_now + delay, m_order++, std::move (action) });
 }
@@ -39,7 +39,7 @@
 void Rig::post (const InstanceName& instance, Duration delay, EventBody body)
 {
     const auto id = m_hosts.at (instance).m_settings.m_self.m_id;
-    at (delay, [this, id, body = std::move (body)] { deliver (id, body); });
+    schedule (delay, [this, id, body = std::move (body)] { deliver (id, body); });
 }
 
 void Rig::deliver (const NodeId& to, EventBody body)
@@ -50,14 +50,15 @@
         return;
 
     if (host.m_frozenUntil > m_now)
-        return at (host.m_frozenUntil - m_now, [this, to, body = std::move (body)] { deliver (to, body); });
+        return schedule (host.m_frozenUntil - m_now,
+                         [this, to, body = std::move (body)] { deliver (to, body); });
 
     apply (host, body);
 }
 
 void Rig::apply (Host& host, const EventBody& body)
 {
-    carryOut (host, host.m_reducer->apply ({ m_now, body }));
+    execute (host, host.m_reducer->apply ({ m_now, body }));
 
     if (host.m_isAlive)
         scheduleTick (host);
@@ -66,14 +67,14 @@
 void Rig::scheduleTick (Host& host)
 {
     const auto due =
-        std::min (host.m_reducer->nextWakeUp().value_or (m_now + longestSleep), m_now + longestSleep);
+        std::min (host.m_reducer->nextWakeUp().value_or (m_now + maxTickInterval), m_now + maxTickInterval);
 
     if (host.m_tickAt.has_value() && *host.m_tickAt > m_now && *host.m_tickAt <= due)
         return;
 
     host.m_tickAt = due;
     const auto id = host.m_settings.m_self.m_id;
-    at (std::max (Duration::zero(), due - m_now), [this, id, due] {
+    schedule (std::max (Duration::zero(), due - m_now), [this, id, due] {
         if (m_hosts.at (id.m_instance).m_tickAt == due)
             deliver (id, TimePassed {});
     });
@@ -96,8 +97,8 @@
     settings.m_self = { { instance, 1 }, service, zone, { "10.0.0." + std::to_string (number), 7001 } };
     settings.m_seed = m_random.below (1U << 30U);
 
-    if (m_adjust)
-        m_adjust (settings);
+    if (m_adjustSettings)
+        m_adjustSettings (settings);
 
     start (instance);
 }
@@ -111,7 +112,7 @@
     host.m_startedAt = m_now;
     host.m_frozenUntil = Time();
     host.m_tickAt.reset();
-    carryOut (host, host.m_reducer->start (m_now));
+    execute (host, host.m_reducer->start (m_now));
     scheduleTick (host);
 }
 
@@ -138,10 +139,10 @@
 
     for (const auto& [number, link] : m_links)
     {
-        if (link.m_to == id && ! isCut (instance, link.m_from.m_instance))
+        if (link.m_to == id && ! isPartitioned (instance, link.m_from.m_instance))
             post (link.m_from.m_instance, Milliseconds (1), PeerLost { instance });
 
-        if (link.m_from == id && ! isCut (instance, link.m_to.m_instance))
+        if (link.m_from == id && ! isPartitioned (instance, link.m_to.m_instance))
             post (link.m_to.m_instance, Milliseconds (1), LinkClosed { number });
     }
 
@@ -185,20 +186,20 @@
 }
 
 //==============================================================================
-void Rig::carryOut (Host& host, const Effects& effects)
+void Rig::execute (Host& host, const Effects& effects)
 {
     for (const auto& effect : effects)
     {
         if (m_onEffect)
             m_onEffect (host.m_settings.m_self.m_id.m_instance, effect);
 
-        std::visit ([&] (const auto& value) { carryOut (host, value); }, effect);
+        std::visit ([&] (const auto& value) { execute (host, value); }, effect);
     }
 }
 
-void Rig::carryOut (Host& host, const AnswerRequest& effect)
+void Rig::execute (Host& host, const AnswerRequest& effect)
 {
-    assert (! m_answers.contains (effect.m_ticket) && "a request gets one answer");
+    assert (! m_answers.contains (effect.m_ticket) && "a request is answered once");
     m_answers[effect.m_ticket] = { effect.m_result, m_now };
 
     if (m_onAnswer)
@@ -216,12 +217,12 @@
     return link;
 }
 
-void Rig::carryOut (Host& host, const SendToPeer& effect)
+void Rig::execute (Host& host, const SendToPeer& effect)
 {
     const auto& self = host.m_settings.m_self.m_id;
     const auto found = m_hosts.find (effect.m_instance);
 
-    if (isCut (self.m_instance, effect.m_instance))
+    if (isPartitioned (self.m_instance, effect.m_instance))
         return;
 
     if (found == m_hosts.end() || ! found->second.m_isAlive)
@@ -239,42 +240,42 @@
     const auto bytes = encodeFrame ({ protocolVersion, self, effect.m_instance, effect.m_message });
     const auto frame = decodeFrame (std::string_view (bytes).substr (frameHeaderBytes), effect.m_instance);
     assert (frame.ok() && frame->m_message == effect.m_message);
-    at (m_delay(), [this, to, link, self, message = frame->m_message] {
+    schedule (m_delay(), [this, to, link, self, message = frame->m_message] {
         if (m_links.contains (link))
             deliver (to, PeerMessageReceived { link, self, message });
     });
 }
 
-void Rig::carryOut (Host& host, const ReplyOnLink& effect)
+void Rig::execute (Host& host, const ReplyOnLink& effect)
 {
     const auto found = m_links.find (effect.m_link);
     const auto& self = host.m_settings.m_self.m_id;
 
-    if (found == m_links.end() || isCut (self.m_instance, effect.m_instance))
+    if (found == m_links.end() || isPartitioned (self.m_instance, effect.m_instance))
         return;
 
     const auto to = found->second.m_from;
-    at (m_delay(), [this, to, self, message = effect.m_message] {
+    schedule (m_delay(), [this, to, self, message = effect.m_message] {
         deliver (to, PeerMessageReceived { 0, self, message });
     });
 }
 
-void Rig::carryOut (Host& host, const SendRumour& effect)
+void Rig::execute (Host& host, const SendGossip& effect)
 {
     const auto& self = host.m_settings.m_self.m_id;
-    const auto rumour = decodeRumour (encodeRumour (effect.m_rumour));
-    assert (rumour.ok());
+    const auto gossip = decodeGossipMessage (encodeGossipMessage (effect.m_gossipMessage));
+    assert (gossip.ok());
 
     if (m_losesDatagram())
         return;
 
     for (const auto& [instance, other] : m_hosts)
         if (other.m_settings.m_self.m_endpoint == effect.m_endpoint && other.m_isAlive &&
-            ! isCut (self.m_instance, instance))
-            post (instance, m_delay(), RumourReceived { *rumour });
+            ! isPartitioned (self.m_instance, instance))
+            post (instance, m_delay(), GossipReceived { *gossip });
 }
 
-void Rig::carryOut (Host& host, const DispatchToTarget& effect)
+void Rig::execute (Host& host, const DispatchToTarget& effect)
 {
     const auto& instance = host.m_settings.m_self.m_id.m_instance;
     m_runs.push_back ({ effect.m_idempotency.m_key, effect.m_idempotency.m_attempt, instance, m_now });
@@ -293,7 +294,7 @@
 }
 
 //==============================================================================
-void Rig::carryOut (Host& host, const FetchList&)
+void Rig::execute (Host& host, const FetchList&)
 {
     if (m_isListDown)
         return;
@@ -314,7 +315,7 @@
     post (host.m_settings.m_self.m_id.m_instance, m_delay(), ListReceived { std::move (list) });
 }
 
-void Rig::carryOut (Host& host, const ReadLog& effect)
+void Rig::execute (Host& host, const ReadLog& effect)
 {
     if (m_isLogDown)
         return;
@@ -344,13 +345,13 @@
     post (instance, m_delay(), std::move (read));
 }
 
-void Rig::carryOut (Host&, const AppendJoin& effect)
+void Rig::execute (Host&, const AppendJoin& effect)
 {
     if (! m_isLogDown)
         m_joinLog.push_back ({ static_cast<LogOffset> (m_joinLog.size()), effect.m_member });
 }
 
-void Rig::carryOut (Host&, const AppendCheckpoint& effect)
+void Rig::execute (Host&, const AppendCheckpoint& effect)
 {
     if (m_isLogDown)
         return;
@@ -361,13 +362,13 @@
                                      state.m_asOfOffset, state.m_text }));
 }
 
-void Rig::carryOut (Host& host, const Exit&)
+void Rig::execute (Host& host, const Exit&)
 {
     end (host.m_settings.m_self.m_id.m_instance);
 }
 
 //==============================================================================
-RequestReceived makeOnce (const std::string& key, std::uint32_t attempt, Duration age)
+RequestReceived makeNonRepeatable (const std::string& key, std::uint32_t attempt, Duration age)
 {
     RequestReceived request;
     request.m_content = { "lodgement", "lodge", "POST", "/lodgement/lodge", "text/plain", "dealing" };
