--- a/modules/plankledge_formats/PlatformJson.h
+++ b/modules/plankledge_formats/PlatformJson.h
@@ -9,13 +9,13 @@
 namespace plankledge
 {
 
-/** Errors in the platform's responses. */
+/** Why a request to the platform failed or a log record is invalid. */
 enum class PlatformError : std::uint8_t
 {
-    notJson,
-    wrongShape,
-    badRecord,
-    unavailable,
+    notJson,     /**< the response body is not JSON */
+    wrongShape,  /**< JSON, but not an object, or a field is missing, of another type or out of range */
+    badRecord,   /**< the data of a log record is not a valid configuration or join record */
+    unavailable, /**< no response, or an unexpected HTTP status */
     platformErrorCount
 };
 
@@ -49,19 +49,29 @@
 inline constexpr std::string_view joinStream = "plankledge-joins";
 
 //==============================================================================
-/** Decodes `{"earliest":E,"next":N,"records":[{"offset":O,"data":"…"}]}`. */
+/** Decodes `{"earliest":E,"next":N,"records":[{"offset":O,"data":"…"}]}`.
+
+    @returns the page, or notJson or wrongShape; the data of the records is not checked
+*/
 absl::StatusOr<LogPage> decodeLogPage (const std::string& text);
 
 /** Decodes `{"instances":[{"instance","service","zone","address","port","state"}]}`.
-    The state is "live" or "leaving". */
+    The state is "live" or "leaving".
+
+    @returns the instances; notJson or wrongShape if any of them is invalid
+*/
 absl::StatusOr<std::vector<ListedInstance>> decodeList (const std::string& text);
 
 /** @returns the data of a configuration record, as JSON */
 std::string encodeConfigurationRecord (const ConfigurationRecord& record);
+
+/** @returns the record, or badRecord */
 absl::StatusOr<ConfigurationRecord> decodeConfigurationRecord (const LogRecord& record);
 
 /** @returns the data of a join record, as JSON */
 std::string encodeJoinRecord (const Member& member);
+
+/** @returns the record, or badRecord */
 absl::StatusOr<JoinRecord> decodeJoinRecord (const LogRecord& record);
 
 } // namespace plankledge
