--- a/modules/plankledge_policy/membership/DrainProtocol.h
+++ b/modules/plankledge_policy/membership/DrainProtocol.h
@@ -12,12 +12,19 @@
 //==============================================================================
 /**
     Drains this node before a planned exit. The node announces that it is leaving,
-    accepts new requests for a grace period, completes its pending calls, hands its
-    records and fences over to each key's next candidates, sends leave notices to the
-    members of its service, and exits.
+    accepts new requests for a grace period (NodeSettings::m_drainGrace), completes its
+    pending calls, hands its records and fences over to each key's next candidates,
+    sends leave notices to the members of its service, and exits.
+
+    A fence rejects first attempts with a key until it expires.
+
+    If calls are still pending at NodeSettings::m_drainTimeout after the start, the node
+    exits without a handover or leave notices.
 
     Unless each record was acknowledged by at least one peer, no leave notices are sent,
     and the records count as lost, as after a crash.
+
+    @see RecordTable
 */
 class DrainProtocol
 {
@@ -32,10 +39,19 @@
 
     DrainProtocol (Membership& membership, RecordTable& records, Hooks hooks);
 
+    /** Called when the process is asked to stop: starts draining, unless already started. */
     void start (Turn& turn);
+
+    /** Called when the drain timer fires: checks whether the next phase can start. */
     void onTimer (Turn& turn);
+
+    /** Called when a peer has acknowledged a batch of records and fences. */
     void onHandoverAcknowledged (const HandoverAcknowledgement& acknowledgement);
+
+    /** Called when a peer has acknowledged this node's leave notice. */
     void onLeaveAcknowledged (const NodeId& from);
+
+    /** Called when connecting to a peer failed: stops waiting for it to acknowledge the leave notice. */
     void onPeerUnreachable (const InstanceName& instance) { m_unnotified.erase (instance); }
 
     bool isDraining() const noexcept { return m_phase != Phase::none; }
--- a/modules/plankledge_policy/membership/JoinProtocol.h
+++ b/modules/plankledge_policy/membership/JoinProtocol.h
@@ -26,18 +26,31 @@
     //==============================================================================
     JoinProtocol (Membership& membership, RecordTable& records, std::function<void (Turn&)> onEstablished);
 
+    /** Called when the node starts: appends this node to the join stream of the platform's log. */
     void start (Turn& turn);
+
+    /** Called when the join timer fires: reads the join stream and, until this node is established, repeats
+        the join requests that are not yet acknowledged. */
     void onTimer (Turn& turn);
+
+    /** Called when the platform's list of instances was received; the first list triggers join requests. */
     void onListRead (Turn& turn);
+
+    /** Called when part of the join stream was read: adds the members of this node's service. */
     void onJoinsRead (Turn& turn, const JoinsRead& read);
+
+    /** Called when connecting to a peer failed: the peer counts as unreachable until the next round of
+        requests. */
     void onPeerUnreachable (const InstanceName& instance) { m_unreachable.insert (instance); }
 
-    /** Adds another joining node to this node's view.
+    /** Called on a join request from another node: adds that node to this node's view.
 
         @returns the acknowledgement to send to it
     */
     JoinAcknowledgement onRequest (Turn& turn, const JoinRequest& request) const;
 
+    /** Called when a peer has acknowledged this node's join request: takes over the members, lost memories
+        and fences that the peer knows. */
     void onAcknowledged (Turn& turn, const NodeId& from, const JoinAcknowledgement& acknowledgement);
 
     bool isEstablished() const noexcept { return m_isEstablished; }
