--- a/modules/plankledge_policy/admission/ThresholdCache.h
+++ b/modules/plankledge_policy/admission/ThresholdCache.h
@@ -10,7 +10,8 @@
 //==============================================================================
 /**
     Caches the shed thresholds that other nodes report in their answers, per instance
-    and for the downstream services of each operation.
+    and for the downstream services of each operation. A threshold admits the ranks
+    below it, so higher ranks are refused first.
 
     A cached threshold rises with its age: while all calls are refused locally no answer
     can update it, so some calls must be admitted to probe the service.
