--- a/modules/plankledge_policy/relay/store/StoreSync.cpp
+++ b/modules/plankledge_policy/relay/store/StoreSync.cpp
@@ -203,16 +203,16 @@
     return m_directory.end() > before;
 }
 
-bool StoreSync::onMembersUpdate (Turn& turn, const MembersUpdate& told)
+bool StoreSync::onMembersUpdate (Turn& turn, const MembersUpdate& update)
 {
-    if (told.m_end <= m_directory.end())
+    if (update.m_end <= m_directory.end())
         return false;
 
     // The update contains all records, so the listing in progress is no longer needed.
     if (! m_directory.end().isKnown() && ! m_isFollowing)
         turn.emit (ReadTopic { StoreTopic::members, TopicReadMode::stop, {}, {} });
 
-    const MembersRead read { told.m_members, told.m_withdrawn, {}, told.m_end };
+    const MembersRead read { update.m_members, update.m_withdrawn, {}, update.m_end };
     m_directory.apply (read);
     ensureOwnRecord (turn, read);
     return true;
--- a/modules/plankledge_policy/relay/store/StoreSync.h
+++ b/modules/plankledge_policy/relay/store/StoreSync.h
@@ -75,7 +75,7 @@
 
         @returns true if they contained changes
     */
-    bool onMembersUpdate (Turn& turn, const MembersUpdate& told);
+    bool onMembersUpdate (Turn& turn, const MembersUpdate& update);
 
     /** Must be called when the store becomes reachable or unreachable. */
     void onReached (const StoreReachabilityChanged& event, Time now);
--- a/tests/relay/peers/PeerContacts_test.cpp
+++ b/tests/relay/peers/PeerContacts_test.cpp
@@ -206,24 +206,24 @@
 {
     View view ("asker", 1, 0);
     auto& peer = *view.m_peers.find ("own-0");
-    std::vector<Duration> askedAfter;
+    std::vector<Duration> intervals;
     auto now = start;
     view.m_peers.onCalls ("own-0", now);
 
-    while (askedAfter.size() < 6)
+    while (intervals.size() < 6)
     {
-        const auto heardAt = now;
+        const auto receivedAt = now;
 
         while (! PeerContacts::areCallsDue (peer, now))
             now += Milliseconds (50);
 
-        askedAfter.push_back (now - heardAt);
+        intervals.push_back (now - receivedAt);
         view.m_peers.onCalls ("own-0", now);
     }
 
-    CHECK (askedAfter == std::vector<Duration> { Milliseconds (200), Milliseconds (400), Milliseconds (800),
-                                                 Milliseconds (1600), Milliseconds (2000),
-                                                 Milliseconds (2000) });
+    CHECK (intervals == std::vector<Duration> { Milliseconds (200), Milliseconds (400), Milliseconds (800),
+                                                Milliseconds (1600), Milliseconds (2000),
+                                                Milliseconds (2000) });
 }
 
 TEST_CASE ("a service that is no longer needed is dropped")
